--- a/crates/controller/src/client.rs
+++ b/crates/controller/src/client.rs
@@ -5,8 +5,8 @@
 use crate::store::{Store, StoreError};
 use copperhaven_core::records::{CAN, STAGES};
 use copperhaven_core::settings::Settings;
-use copperhaven_rollout::{ABILITIES, CanRecord, Holds, Next, StagesRecord, next};
-use copperhaven_wire::jobs::{Shown, valid_uid};
+use copperhaven_rollout::{ABILITIES, AbilitiesRecord, HoldReason, Transition, StagesRecord, next_transition};
+use copperhaven_wire::jobs::{JobStatus, is_valid_uid};
 use hyper::Method;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -29,11 +29,11 @@
     }
 }
 
-type Cans = BTreeMap<String, CanRecord>;
+type Cans = BTreeMap<String, AbilitiesRecord>;
 
 async fn read_stages(store: &Store) -> Result<(StagesRecord, Cans), StoreError> {
     let stages = store.get::<StagesRecord>(STAGES).await?.map(|(s, _)| s).unwrap_or_default();
-    let cans = store.list::<CanRecord>(CAN).await?.rows.into_iter();
+    let cans = store.list::<AbilitiesRecord>(CAN).await?.rows.into_iter();
     Ok((stages, cans.map(|(path, can, _)| (path.trim_start_matches(CAN).into(), can)).collect()))
 }
 
@@ -42,7 +42,7 @@
     let mut out = String::new();
     for m in &members {
         let can = cans.get(m).map_or("nothing recorded".into(), |c| {
-            let can: Vec<&str> = c.can.iter().map(String::as_str).collect();
+            let can: Vec<&str> = c.abilities.iter().map(String::as_str).collect();
             format!("release {}, can {}", c.release, can.join(", "))
         });
         let _ = writeln!(out, "{m}: {can}");
@@ -50,22 +50,22 @@
     for ability in ABILITIES {
         let stage = stages.stage(ability);
         // Whether records of it are left only its leader knows; they are taken to be.
-        let comes = match next(ability, stages, &members, cans, &settings.wish(), true) {
-            Next::Move(to, _) => format!("{} next", to.name()),
-            Next::Hold(Holds::Done) => "as far as it goes".into(),
-            Next::Hold(Holds::Off) => "stays so: abilities_off".into(),
-            Next::Hold(Holds::Upgraded) => {
+        let comes = match next_transition(ability, stages, &members, cans, &settings.wish(), true) {
+            Transition::Move(to, _) => format!("{} next", to.name()),
+            Transition::Hold(HoldReason::Complete) => "as far as it goes".into(),
+            Transition::Hold(HoldReason::Disabled) => "stays so: abilities_off".into(),
+            Transition::Hold(HoldReason::LegacyInstallation) => {
                 "an older release wrote here before: waits for abilities_on".into()
             }
-            Next::Hold(Holds::Members(m)) if m.is_empty() => "all members are left out".into(),
-            Next::Hold(Holds::Members(m)) => format!("waits for {}", m.join(", ")),
-            Next::Hold(Holds::Records) => "waits until none of its records is left".into(),
+            Transition::Hold(HoldReason::MissingMembers(m)) if m.is_empty() => "all members are left out".into(),
+            Transition::Hold(HoldReason::MissingMembers(m)) => format!("waits for {}", m.join(", ")),
+            Transition::Hold(HoldReason::RemainingRecords) => "waits until none of its records is left".into(),
         };
         let since =
             stages.stages.get(ability).map_or(String::new(), |r| format!(" since term {}", r.term));
         let _ = writeln!(out, "{ability}: {}{since}; {comes}", stage.name());
     }
-    if let Some(unknown) = stages.unknown() {
+    if let Some(unknown) = stages.unsupported_ability() {
         let _ =
             writeln!(out, "{unknown}: in use, and not known to this release, which does not lead");
     }
@@ -74,7 +74,7 @@
 
 /// Asks about a job, or cancels it. Returns the text for the user and the exit code.
 pub async fn job(uid: &str, server: &str, cancel: bool) -> (String, u8) {
-    if !valid_uid(uid) {
+    if !is_valid_uid(uid) {
         return (format!("`{uid}` is no job id: wk- and digits"), USAGE);
     }
     if server.parse::<SocketAddr>().is_err() {
@@ -91,7 +91,7 @@
         Err(e) => return (format!("no answer from {server}: {e}"), NO_ANSWER),
     };
     match answer.status {
-        200 => match answer.decode::<Shown>() {
+        200 => match answer.decode::<JobStatus>() {
             Some(s) => (describe(&s), DONE),
             None => (format!("{server} answered what is no job"), NO_ANSWER),
         },
@@ -100,21 +100,21 @@
     }
 }
 
-fn describe(s: &Shown) -> String {
+fn describe(s: &JobStatus) -> String {
     let mut text = format!("{}: {}, {} tasks done, {} running", s.uid, s.status, s.done, s.running);
-    if let Some(why) = &s.why {
+    if let Some(why) = &s.reason {
         text += &format!("; {why}");
     }
-    if !s.awaits.is_empty() {
-        text += &format!(": {}", s.awaits.join(", "));
-        let more = s.awaits_count.saturating_sub(s.awaits.len() as u64);
+    if !s.pending_dependencies.is_empty() {
+        text += &format!(": {}", s.pending_dependencies.join(", "));
+        let more = s.pending_dependency_count.saturating_sub(s.pending_dependencies.len() as u64);
         if more > 0 {
             text += &format!(" and {more} more");
         }
     }
-    if let Some(by) = &s.held_by {
-        text += &format!("; held back by {} ({}), {}", by.uid, by.lot, by.status);
-        if let Some(why) = &by.why {
+    if let Some(by) = &s.blocked_by {
+        text += &format!("; held back by {} ({}), {}", by.uid, by.class, by.status);
+        if let Some(why) = &by.reason {
             text += &format!(": {why}");
         }
     }
@@ -141,18 +141,18 @@
     #[test]
     fn a_waiting_job_says_why() {
         let why = Some("the team's limit is reached".into());
-        let mut s = Shown { why, ..Shown::new("wk-1", "queued") };
+        let mut s = JobStatus { reason: why, ..JobStatus::new("wk-1", "queued") };
         assert_eq!(
             describe(&s),
             "wk-1: queued, 0 tasks done, 0 running; the team's limit is reached"
         );
-        s.why = Some("waits for other jobs to be done".into());
-        (s.awaits, s.awaits_count) = (vec!["wk-2".into(), "wk-3".into()], 5);
-        s.held_by = Some(copperhaven_wire::jobs::HeldBy {
+        s.reason = Some("waits for other jobs to be done".into());
+        (s.pending_dependencies, s.pending_dependency_count) = (vec!["wk-2".into(), "wk-3".into()], 5);
+        s.blocked_by = Some(copperhaven_wire::jobs::BlockingJob {
             uid: "wk-7".into(),
-            lot: "render".into(),
+            class: "render".into(),
             status: "running".into(),
-            why: None,
+            reason: None,
         });
         let text = describe(&s);
         assert!(text.ends_with(
@@ -163,9 +163,9 @@
     #[test]
     fn stages_are_told_with_what_holds_them_back() {
         let settings = copperhaven_core::for_tests::sample();
-        let can = |m: &str| (m.to_string(), CanRecord::own(2));
-        let born = StagesRecord { born: true, ..StagesRecord::default() };
-        let written = born.with("packs", copperhaven_rollout::Stage::Written, 4, vec![]);
+        let can = |m: &str| (m.to_string(), AbilitiesRecord::for_release(2));
+        let born = StagesRecord { born_with_stages: true, ..StagesRecord::default() };
+        let written = born.with_stage("packs", copperhaven_rollout::Stage::Written, 4, vec![]);
         for (stages, cans, expected) in [
             (
                 &born,
--- a/crates/controller/src/cloud.rs
+++ b/crates/controller/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::http::{CallError, Client};
 use crate::net::Net;
 use copperhaven_core::records::RentalRecord;
-use copperhaven_wire::cloud::{Host, WireFlavor};
+use copperhaven_wire::cloud::{Host, WireMachineType};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
         Cloud { http: Client::within(net, 2), addr }
     }
 
-    pub async fn flavors(&self) -> Option<Vec<WireFlavor>> {
+    pub async fn flavors(&self) -> Option<Vec<WireMachineType>> {
         #[derive(Deserialize)]
         struct Body {
-            berths: Vec<WireFlavor>,
+            berths: Vec<WireMachineType>,
         }
         let a = self.http.get(&self.addr, "/flavors", LIMIT).await.ok()?;
         (a.status == 200).then(|| a.decode::<Body>())?.map(|b| b.berths)
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -4,7 +4,7 @@
 use crate::listen::{ListenError, PATIENCE, listen};
 use crate::node::Node;
 use crate::reply::Reply;
-use copperhaven_wire::limits::MOST_BODY;
+use copperhaven_wire::limits::MAX_BODY_BYTES;
 use poem::http::StatusCode;
 use poem::listener::{Acceptor, TcpAcceptor};
 use poem::web::{Data, LocalAddr, Path, RemoteAddr};
@@ -32,7 +32,7 @@
 }
 
 async fn read(body: Body) -> Option<Vec<u8>> {
-    let body = tokio::time::timeout(BODY_LIMIT, body.into_bytes_limit(MOST_BODY));
+    let body = tokio::time::timeout(BODY_LIMIT, body.into_bytes_limit(MAX_BODY_BYTES));
     body.await.ok()?.ok().map(|b| b.to_vec())
 }
 
--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -51,7 +51,7 @@
     let leader = Cond { path: LEADER.into(), stamp };
     let now = node.now();
     let mut cell = Cell::new(node.settings.clone(), term, leader, now, names, flavors);
-    cell.recovery.since(begun);
+    cell.recovery.set_started_at(begun);
     let read = Records {
         jobs: jobs.rows,
         done: done.rows,
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::store::Outcome;
 use copperhaven_core::records::*;
-use copperhaven_reach::returns::Verdict;
+use copperhaven_reach::returns::KeyDecision;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -61,7 +61,7 @@
                 let verdict = returns::verdict(&node, &record, first);
                 // Until it listens itself it can't tell whose its own name is.
                 first &= record.member == node.settings.member && node.seat().is_none();
-                if verdict != Verdict::Others {
+                if verdict != KeyDecision::HeldByOther {
                     succeed(&node, verdict, (record.term, stamp, lease)).await;
                     continue;
                 }
@@ -145,7 +145,7 @@
             return None;
         }
     };
-    if let Some(ability) = stages.unknown() {
+    if let Some(ability) = stages.unsupported_ability() {
         node.note_unknown(ability);
         return None;
     }
@@ -181,7 +181,7 @@
     ];
     if term_stamp == 0 && stages_stamp == 0 {
         // The very first leader: no older release ever wrote here.
-        stages.born = true;
+        stages.born_with_stages = true;
         when.push(Cond { path: STAGES.into(), stamp: 0 });
         apply.push(put(STAGES, Record::Stages(stages), None));
     }
--- a/crates/controller/src/leadership/returns.rs
+++ b/crates/controller/src/leadership/returns.rs
@@ -4,25 +4,25 @@
 use crate::leadership::{elect, lead};
 use crate::node::Node;
 use copperhaven_core::records::LeaderRecord;
-use copperhaven_reach::returns::{self, Held, Verdict};
+use copperhaven_reach::returns::{self, LeaderKey, KeyDecision};
 use std::sync::Arc;
 
 /// What this process makes of the leader's key, which is under its own name or another's.
-pub(super) fn verdict(node: &Node, record: &LeaderRecord, first: bool) -> Verdict {
+pub(super) fn verdict(node: &Node, record: &LeaderRecord, first: bool) -> KeyDecision {
     let (seat, member) = (record.seat.as_deref(), record.member.as_str());
-    let held = Held { member, seat, at: record.at, returns: record.returns };
-    returns::verdict(held, &node.settings.member, node.seat(), first, Node::wall_ms())
+    let held = LeaderKey { member, listen_addr: seat, elected_at_ms: record.at, restarts: record.returns };
+    returns::decide(held, &node.settings.member, node.seat(), first, Node::wall_ms())
 }
 
 /// The leader's key is that of this process's predecessor, which has ended, or a late one of its own: nobody
 /// leads under it. It takes its place at once, or gives the key up for it.
 pub(super) async fn succeed(
     node: &Arc<Node>,
-    verdict: Verdict,
+    verdict: KeyDecision,
     (term, stamp, lease): (u64, u64, Option<u64>),
 ) {
     node.heard_term(term, None);
-    if let Verdict::Stand { returns } = verdict {
+    if let KeyDecision::TakeOver { restarts: returns } = verdict {
         if let Some(won) = elect(node, stamp, returns).await {
             lead(node, won, "its process had ended as leader and is back").await;
         }
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::store::{Outcome, StoreError};
 use copperhaven_core::records::*;
-use copperhaven_rollout::{CanRecord, Holds, Next, PACKS, Stage, StagesRecord, next};
+use copperhaven_rollout::{AbilitiesRecord, HoldReason, Transition, PACKS, Stage, StagesRecord, next_transition};
 use std::collections::BTreeMap;
 use tokio::time::sleep;
 
@@ -17,14 +17,14 @@
 
 /// Records what this process can, until that is done. Others count it only by this record.
 pub(super) async fn record_own(node: &Node) {
-    let own = CanRecord::own(RELEASE);
+    let own = AbilitiesRecord::for_release(RELEASE);
     let path = format!("{CAN}{}", node.settings.member);
     loop {
-        let seen = match node.store.get::<CanRecord>(&path).await {
+        let seen = match node.store.get::<AbilitiesRecord>(&path).await {
             Ok(seen) => seen,
             // Whatever stands there, this process knows what it can itself.
             Err(StoreError::Unreadable { stamp, .. }) => {
-                Some((CanRecord { release: 0, can: Default::default() }, stamp))
+                Some((AbilitiesRecord { release: 0, abilities: Default::default() }, stamp))
             }
             Err(_) => {
                 sleep(ms(500)).await;
@@ -69,15 +69,15 @@
         if switched == Some(true) {
             tracing::info!("lists of machines are written in packs: {written}");
         }
-        let Ok(cans) = node.store.list::<CanRecord>(CAN).await else { continue };
+        let Ok(cans) = node.store.list::<AbilitiesRecord>(CAN).await else { continue };
         let stamps: BTreeMap<&str, u64> =
             cans.rows.iter().map(|(path, _, s)| (path.as_str(), *s)).collect();
         let name = |path: &String| path.trim_start_matches(CAN).to_string();
         let by_name = cans.rows.iter().map(|(path, can, _)| (name(path), can.clone())).collect();
-        let (stage, counted) = match next(PACKS, &stages, &members, &by_name, &wish, left) {
-            Next::Move(stage, counted) => (stage, counted),
-            Next::Hold(why) => {
-                let done = matches!(why, Holds::Done | Holds::Off | Holds::Upgraded);
+        let (stage, counted) = match next_transition(PACKS, &stages, &members, &by_name, &wish, left) {
+            Transition::Move(stage, counted) => (stage, counted),
+            Transition::Hold(why) => {
+                let done = matches!(why, HoldReason::Complete | HoldReason::Disabled | HoldReason::LegacyInstallation);
                 if told.as_ref() != Some(&why) {
                     tell(&why, stages.stage(PACKS));
                     told = Some(why);
@@ -89,7 +89,7 @@
                 continue;
             }
         };
-        let next = stages.with(PACKS, stage, term, counted.clone());
+        let next = stages.with_stage(PACKS, stage, term, counted.clone());
         let Ok(Some((_, term_stamp))) = node.store.get::<TermRecord>(TERM).await else { continue };
         let mut when = vec![
             Cond { path: LEADER.into(), stamp: leader },
@@ -111,20 +111,20 @@
     }
 }
 
-fn tell(why: &Holds, stage: Stage) {
+fn tell(why: &HoldReason, stage: Stage) {
     let stage = stage.name();
     match why {
-        Holds::Done | Holds::Off => {}
-        Holds::Upgraded => tracing::info!(
+        HoldReason::Complete | HoldReason::Disabled => {}
+        HoldReason::LegacyInstallation => tracing::info!(
             "`{PACKS}` stays {stage}: an older release wrote here before; once none of it comes back, set abilities_on"
         ),
-        Holds::Members(m) if m.is_empty() => {
+        HoldReason::MissingMembers(m) if m.is_empty() => {
             tracing::warn!("`{PACKS}` stays {stage}: all members are left out");
         }
-        Holds::Members(m) => {
+        HoldReason::MissingMembers(m) => {
             tracing::info!("`{PACKS}` stays {stage}: {} have not recorded it", m.join(", "));
         }
-        Holds::Records => {
+        HoldReason::RemainingRecords => {
             tracing::info!("`{PACKS}` stays {stage} until none of its records is left")
         }
     }
--- a/crates/controller/src/leadership/tests.rs
+++ b/crates/controller/src/leadership/tests.rs
@@ -195,7 +195,7 @@
             let reply = node.ask(crate::cluster::frames::Op::Show, b"wk-2").await;
             assert_eq!(reply.status, status, "{key} {told}");
             if status == 200 {
-                let shown: copperhaven_wire::jobs::Shown =
+                let shown: copperhaven_wire::jobs::JobStatus =
                     rmp_serde::from_slice(&reply.body).expect("a job");
                 assert_eq!(shown.status, told);
             }
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -121,15 +121,15 @@
 /// Tells in the log how the takeover goes on, and at its end what was met when reports were held against records.
 fn tell_recovery(c: &mut Cell, now: u64) {
     let mut over = false;
-    for z in c.recovery.pass(now) {
-        let (zone, heard) = (c.names.zones.name(z.zone.0 as usize), z.recorded - z.unheard);
-        let (of, ms) = (z.recorded, z.took_ms);
+    for z in c.recovery.advance_time(now) {
+        let (zone, heard) = (c.names.zones.name(z.zone.0 as usize), z.recorded_machines - z.unreported_machines);
+        let (of, ms) = (z.recorded_machines, z.elapsed_ms);
         tracing::info!("recovery: {heard} of {of} machines of {zone} are heard after {ms} ms");
         over = c.recovery.phase() == Phase::Serving;
     }
     if over {
         c.close_squaring();
-        tracing::info!("recovery: over, tasks: {}", c.squared.words());
+        tracing::info!("recovery: over, tasks: {}", c.squared.summary());
     }
 }
 
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -105,7 +105,7 @@
         for (what, n) in [("jobs", c.swept.jobs), ("tasks", c.swept.tasks)] {
             swept.get_or_create(&vec![("what", what.into())]).set(n as f64);
         }
-        unheard.get_or_create(&none).set(c.recovery.unheard() as f64);
+        unheard.get_or_create(&none).set(c.recovery.unreported_count() as f64);
         for (row, n) in c.squared.iter() {
             squared.get_or_create(&vec![("met", row.name().into())]).set(n as f64);
         }
@@ -171,9 +171,9 @@
         }
         let class = |i: u32| ("class", c.names.classes.name(i as usize).to_string());
         let team = |i: u32| ("team", c.names.teams.name(i as usize).to_string());
-        for ((t, k), r) in c.service.pairs() {
+        for ((t, k), r) in c.service.team_classes() {
             for (fate, n) in [
-                ("taken", r.taken),
+                ("taken", r.accepted),
                 ("done", r.done),
                 ("cancelled", r.cancelled),
                 ("refused", r.refused.iter().sum()),
@@ -185,11 +185,11 @@
             }
         }
         for (t, r) in c.service.teams() {
-            share.get_or_create(&vec![team(t.0)]).set(r.share(now));
+            share.get_or_create(&vec![team(t.0)]).set(r.served_share(now));
         }
         for (k, r) in c.service.classes() {
-            share.get_or_create(&vec![class(k.0)]).set(r.share(now));
-            lost.get_or_create(&vec![class(k.0)]).set(r.lost(now));
+            share.get_or_create(&vec![class(k.0)]).set(r.served_share(now));
+            lost.get_or_create(&vec![class(k.0)]).set(r.lost_share(now));
             for (name, q) in [("0.5", 0.5), ("0.9", 0.9)] {
                 if let Some(s) = c.service.slowdown(k, q) {
                     slow.get_or_create(&vec![class(k.0), ("quantile", name.into())]).set(s);
--- a/crates/controller/src/node/directly.rs
+++ b/crates/controller/src/node/directly.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use copperhaven_core::state::machine::Direct;
-use copperhaven_recovery::lane::{Budget, KINDS, Lane, Urgency};
+use copperhaven_recovery::lane::{SendBudget, SEND_PRIORITY_COUNT, SendQueue, SendPriority};
 use copperhaven_wire::workers::{Order, Orders, Report};
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,19 +15,19 @@
 const LIMIT: Duration = Duration::from_millis(2000);
 
 /// The lane, and the term that it is for.
-pub struct Lanes(Mutex<(u64, Lane<Direct>)>);
+pub struct Lanes(Mutex<(u64, SendQueue<Direct>)>);
 
 impl Lanes {
     pub(super) fn new(settings: &copperhaven_core::settings::Settings) -> Lanes {
         let limits = &settings.deployment.limits;
-        let budget = Budget::of(limits.cpu_share, limits.max_connections);
-        Lanes(Mutex::new((0, Lane::new(budget, MOST, 0))))
+        let budget = SendBudget::from_limits(limits.cpu_share, limits.max_connections);
+        Lanes(Mutex::new((0, SendQueue::new(budget, MOST, 0))))
     }
 
     /// Sent and left out so far, by urgency.
-    pub fn counts(&self) -> ([u64; KINDS], [u64; KINDS]) {
+    pub fn counts(&self) -> ([u64; SEND_PRIORITY_COUNT], [u64; SEND_PRIORITY_COUNT]) {
         let lane = &self.0.lock().expect("lock").1;
-        (lane.sent, lane.left_out)
+        (lane.sent, lane.dropped)
     }
 }
 
@@ -50,13 +50,13 @@
             return;
         }
         let due = self.with_cell(term, |c, _| {
-            lane.take(now, |urgency, d| {
+            lane.take_ready(now, |urgency, d| {
                 let m = d.machine.and_then(|mid| c.machines.get(&mid));
                 match (urgency, d.machine) {
-                    (Urgency::Halt, _) => true,
-                    (Urgency::Nudge, mid) => mid.is_some_and(|mid| c.nudge_helps(mid)),
+                    (SendPriority::Halt, _) => true,
+                    (SendPriority::RequestReport, mid) => mid.is_some_and(|mid| c.nudge_helps(mid)),
                     // The answer to its own report has told it by now.
-                    (Urgency::Term, _) => m.is_none_or(|m| m.answered == 0),
+                    (SendPriority::Term, _) => m.is_none_or(|m| m.answered == 0),
                 }
             })
         });
@@ -64,18 +64,18 @@
             let node = self.clone();
             tokio::spawn(async move {
                 send(&node, term, d).await;
-                node.lanes.0.lock().expect("lock").1.answered();
+                node.lanes.0.lock().expect("lock").1.record_completed();
             });
         }
     }
 }
 
-fn urgency(d: &Direct) -> Urgency {
+fn urgency(d: &Direct) -> SendPriority {
     let nudge = |o: &Order| matches!(o, Order::Run { .. });
     match d.orders.as_slice() {
-        [] => Urgency::Term,
-        orders if orders.iter().all(nudge) => Urgency::Nudge,
-        _ => Urgency::Halt,
+        [] => SendPriority::Term,
+        orders if orders.iter().all(nudge) => SendPriority::RequestReport,
+        _ => SendPriority::Halt,
     }
 }
 
@@ -88,15 +88,15 @@
         #[serde(flatten)]
         orders: &'a Orders,
     }
-    let orders = Orders { warrant: term, orders: std::mem::take(&mut d.orders) };
+    let orders = Orders { term, orders: std::mem::take(&mut d.orders) };
     let mut shift = d.shift;
     for _ in 0..2 {
         let body = Body { shift, orders: &orders };
         let answer = node.workers.post(&d.addr, "/commands", &body, LIMIT).await;
         let Ok(answer) = answer else { return };
         match (answer.status, answer.decode::<Report>()) {
-            (409, Some(r)) if r.warrant > term => return node.heard_term(r.warrant, None),
-            (409, Some(r)) if r.shift != shift => shift = r.shift,
+            (409, Some(r)) if r.term > term => return node.heard_term(r.term, None),
+            (409, Some(r)) if r.session != shift => shift = r.session,
             _ => return,
         }
     }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -25,7 +25,7 @@
 use copperhaven_core::state::cell::Cell;
 use copperhaven_core::state::fleet::Flavor;
 use copperhaven_core::state::names::Names;
-use copperhaven_wire::cloud::WireFlavor;
+use copperhaven_wire::cloud::WireMachineType;
 use std::collections::BTreeSet;
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -42,7 +42,7 @@
     pub leader: Option<(u64, usize)>,
     /// The highest term seen anywhere.
     pub top_term: u64,
-    pub flavors: Option<Vec<WireFlavor>>,
+    pub flavors: Option<Vec<WireMachineType>>,
     /// When this node could last reach a leader.
     pub reached: u64,
     /// Since when the state service gives this node no answers.
--- a/crates/controller/src/node/questions.rs
+++ b/crates/controller/src/node/questions.rs
@@ -5,7 +5,7 @@
 use crate::store::StoreError;
 use copperhaven_core::questions::shown_final;
 use copperhaven_core::records::{FinalRecord, JobRecord};
-use copperhaven_wire::jobs::{self, Shown};
+use copperhaven_wire::jobs::{self, JobStatus};
 use std::time::Duration;
 
 /// How long a question waits for a record on its way: less than those that pass questions on wait for an answer.
@@ -13,7 +13,7 @@
 
 impl Node {
     /// What is known of a job in memory.
-    pub(super) fn known(&self, term: u64, uid: &str) -> Option<Option<Shown>> {
+    pub(super) fn known(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
         self.with_cell(term, |c, _| {
             if c.jobs.has(uid) || c.finals.has(uid) { Some(c.show(uid)) } else { None }
         })
@@ -28,7 +28,7 @@
 
     pub(super) async fn show(&self, body: &[u8]) -> Reply {
         let Ok(uid) = std::str::from_utf8(body) else { return Reply::error(404, "unknown job") };
-        if !jobs::valid_uid(uid) {
+        if !jobs::is_valid_uid(uid) {
             return Reply::error(404, "unknown job");
         }
         let Some(term) = self.term() else { return Reply::later("no leader", 1) };
@@ -78,7 +78,7 @@
     /// Without a leader the state service itself is asked: it is never older than an answer.
     pub(super) async fn show_from_store(&self, body: &[u8]) -> Reply {
         let Ok(uid) = std::str::from_utf8(body) else { return Reply::error(404, "unknown job") };
-        if !jobs::valid_uid(uid) {
+        if !jobs::is_valid_uid(uid) {
             return Reply::error(404, "unknown job");
         }
         // Who lacks both the leader and the state service says so at once.
@@ -119,7 +119,7 @@
                 let Some(cancelled) = cancelled else { return later };
                 let why = Some(aside.unwrap_or_else(|| "waiting for a leader".to_string()));
                 let status = if cancelled { "aborted" } else { "queued" };
-                Reply::new(200, &Shown { why, ..Shown::new(uid, status) })
+                Reply::new(200, &JobStatus { reason: why, ..JobStatus::new(uid, status) })
             }
             (Ok(None), None) => Reply::error(404, "unknown job"),
             (Err(_), _) => later,
@@ -148,6 +148,6 @@
             Ok(None) | Err(_) => return None,
         };
         let why = "its record can't be read: it is known, and starts once that is mended";
-        Some(Reply::new(200, &Shown { why: Some(why.into()), ..Shown::new(uid, status) }))
+        Some(Reply::new(200, &JobStatus { reason: Some(why.into()), ..JobStatus::new(uid, status) }))
     }
 }
--- a/crates/controller/src/node/reach.rs
+++ b/crates/controller/src/node/reach.rs
@@ -3,8 +3,8 @@
 
 use crate::node::Node;
 use copperhaven_reach::Member;
-use copperhaven_reach::facts::{Facts, Known, Own};
-use copperhaven_reach::standing::{Standing, View};
+use copperhaven_reach::facts::{Connectivity, PeerConnectivity, LocalConnectivity};
+use copperhaven_reach::standing::{Candidacy, ElectionView};
 use copperhaven_reach::told;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -23,15 +23,15 @@
 
 #[derive(Default)]
 pub struct Reached {
-    own: Own,
-    known: Known,
-    standing: Standing,
+    own: LocalConnectivity,
+    known: PeerConnectivity,
+    standing: Candidacy,
     zones: BTreeMap<String, u32>,
     /// Addresses of workers by zone, and when each was last heard of; the last heard last.
     workers: BTreeMap<u32, VecDeque<(String, u64)>>,
     looked: u64,
     /// What was last told in the log.
-    told: Option<Facts>,
+    told: Option<Connectivity>,
     /// Peers whose nonsense was told in the log.
     nonsense: u16,
 }
@@ -76,7 +76,7 @@
         }
         r.looked = now;
         let zone = r.zone(&from.yard);
-        r.own.zone(zone).answered(now, now);
+        r.own.zone_link_mut(zone).record_answer(now, now);
         r.remember(zone, &from.addr, now);
     }
 
@@ -84,9 +84,9 @@
     pub fn state_asked(&self, sent: u64, answered: bool) {
         let mut r = self.reached.lock().expect("lock");
         if answered {
-            r.own.state.answered(sent, self.now());
+            r.own.state_service.record_answer(sent, self.now());
         } else {
-            r.own.state.failed(sent);
+            r.own.state_service.record_failure(sent);
         }
     }
 
@@ -94,11 +94,11 @@
     pub fn worker_asked(&self, zone: u32, sent: u64, answered: bool) {
         let now = self.now();
         let mut r = self.reached.lock().expect("lock");
-        let link = r.own.zone(zone);
+        let link = r.own.zone_link_mut(zone);
         if answered {
-            link.answered(sent, now);
+            link.record_answer(sent, now);
         } else {
-            link.failed(sent);
+            link.record_failure(sent);
         }
     }
 
@@ -107,7 +107,7 @@
     pub fn to_ask(&self, silence_ms: u64) -> Option<Vec<Target>> {
         let now = self.now();
         let mut r = self.reached.lock().expect("lock");
-        if !r.own.silent(now, silence_ms) {
+        if !r.own.is_silent(now, silence_ms) {
             return Some(vec![]);
         }
         // Who was not heard of for long may be gone, and would be asked in vain for ever.
@@ -136,26 +136,26 @@
             r.remember(zone, addr, now);
         }
         let Reached { own, workers, .. } = &mut *r;
-        own.only_zones(|zone| workers.contains_key(&zone));
+        own.retain_zones(|zone| workers.contains_key(&zone));
     }
 
     /// What this node reaches, as it is told to others; changes are told in the log.
-    pub fn facts(&self) -> Facts {
+    pub fn facts(&self) -> Connectivity {
         let now = self.now();
         let peers = self.cluster.reaches(now);
         let mut r = self.reached.lock().expect("lock");
-        let facts = r.own.facts(peers, now);
-        let known = |f: &Facts| (f.state, f.workers.map(|w| w.div_ceil(50)), f.peers);
+        let facts = r.own.connectivity(peers, now);
+        let known = |f: &Connectivity| (f.state_service, f.workers_percent.map(|w| w.div_ceil(50)), f.peer_mask);
         if r.told.is_none_or(|told| known(&told) != known(&facts)) {
-            let workers = facts.workers.map_or("unknown".into(), |w| format!("{w}% of zones"));
+            let workers = facts.workers_percent.map_or("unknown".into(), |w| format!("{w}% of zones"));
             let peers: Vec<&str> = (0..self.cluster.members.len())
-                .filter(|m| facts.hears(Member(*m)))
+                .filter(|m| facts.can_hear(Member(*m)))
                 .map(|m| self.cluster.members[m].as_str())
                 .collect();
             let peers = if peers.is_empty() { "none".into() } else { peers.join(", ") };
             tracing::info!(
                 "reaches: state service {:?}, workers {workers}, peers {peers}",
-                facts.state
+                facts.state_service
             );
             r.told = Some(facts);
         }
@@ -167,19 +167,19 @@
         let own = (Member(self.cluster.me), self.facts(), 0);
         let now = self.now();
         let r = self.reached.lock().expect("lock");
-        let others = r.known.fresh(now).filter(|(m, ..)| m.0 != self.cluster.me);
-        told::write(std::iter::once(own).chain(others))
+        let others = r.known.unexpired(now).filter(|(m, ..)| m.0 != self.cluster.me);
+        told::encode(std::iter::once(own).chain(others))
     }
 
     /// A peer told what it reaches and knows. Nonsense is dropped, and told once.
     pub fn hear_facts(&self, peer: usize, body: &[u8]) {
         let now = self.now();
         let mut r = self.reached.lock().expect("lock");
-        match told::read(body, self.cluster.members.len()) {
+        match told::decode(body, self.cluster.members.len()) {
             Ok(all) => {
                 for (member, facts, age) in all.into_iter().filter(|(m, ..)| m.0 != self.cluster.me)
                 {
-                    r.known.tell(member, facts, age, now);
+                    r.known.update(member, facts, age, now);
                 }
             }
             Err(e) => {
@@ -193,21 +193,21 @@
         }
     }
 
-    fn with_view<T>(&self, f: impl FnOnce(&mut Standing, &View) -> T) -> T {
+    fn with_view<T>(&self, f: impl FnOnce(&mut Candidacy, &ElectionView) -> T) -> T {
         let own = self.facts();
         let now = self.now();
         let mut r = self.reached.lock().expect("lock");
         let Reached { known, standing, .. } = &mut *r;
-        let of = |m: Member| known.of(m, now);
+        let of = |m: Member| known.get(m, now);
         let members = self.cluster.members.len();
-        f(standing, &View { me: Member(self.cluster.me), own, members, of: &of })
+        f(standing, &ElectionView { self_member: Member(self.cluster.me), local: own, member_count: members, peer_connectivity: &of })
     }
 
     /// While nobody leads: how long to leave others the first try.
     pub fn standing_wait(&self) -> u64 {
         let now = self.now();
-        let wait = self.with_view(|s, view| s.wait_ms(view, now));
-        let behind = self.reached.lock().expect("lock").standing.is_behind(now);
+        let wait = self.with_view(|s, view| s.election_delay_ms(view, now));
+        let behind = self.reached.lock().expect("lock").standing.is_in_restart_backoff(now);
         let started = now < STARTED_MS && !self.has_led() && !behind;
         if started { 0 } else { wait }
     }
@@ -219,25 +219,25 @@
     /// It gave way, or handed over: others stand first for a while.
     pub fn gave_way(&self) {
         let now = self.now();
-        self.reached.lock().expect("lock").standing.gave_way(now);
+        self.reached.lock().expect("lock").standing.record_step_down(now);
     }
 
     /// It ended as leader again and again: others stand first for a moment.
     pub fn left_behind(&self) {
         let now = self.now();
-        self.reached.lock().expect("lock").standing.left_behind(now);
+        self.reached.lock().expect("lock").standing.record_repeated_end(now);
     }
 
     /// As leader since `elected`: the name of a controller to hand over to.
     pub fn outdone(&self, elected: u64) -> Option<&str> {
         let now = self.now();
-        let to = self.with_view(|s, view| s.hand_over(view, elected, now))?;
+        let to = self.with_view(|s, view| s.handover_target(view, elected, now))?;
         self.cluster.members.get(to.0).map(String::as_str)
     }
 
     /// Were workers asked, and did none answer?
     pub fn asked_in_vain(&self) -> bool {
-        self.facts().workers == Some(0)
+        self.facts().workers_percent == Some(0)
     }
 }
 
--- a/crates/controller/src/node/reports.rs
+++ b/crates/controller/src/node/reports.rs
@@ -66,7 +66,7 @@
                 return Reply::later("a newer leader has been", 1);
             }
             Some(Taken::Malformed(why)) => {
-                tracing::warn!("report of {}: {why}", report.hearth);
+                tracing::warn!("report of {}: {why}", report.machine);
                 return Reply::error(400, why);
             }
             Some(Taken::Stale) => return Reply::later("an older report", 1),
@@ -84,7 +84,7 @@
             return none;
         }
         let now = self.now();
-        let at = (report.shift, report.tally);
+        let at = (report.session, report.sequence);
         match self.with_cell(term, |c, lead| c.orders(mid, at, now, lead)).flatten() {
             Some(orders) => Reply::new(200, &orders),
             None => Reply::later("a newer report has come in", 1),
--- a/crates/controller/src/node/serve.rs
+++ b/crates/controller/src/node/serve.rs
@@ -54,7 +54,7 @@
         if op == Op::Submit
             && let Some(leader) = self.leader()
             && !self.cluster.knows_pipelines(leader)
-            && jobs::parse(body).is_ok_and(|job| job.awaits.is_some_and(|a| !a.is_empty()))
+            && jobs::parse(body).is_ok_and(|job| job.depends_on.is_some_and(|a| !a.is_empty()))
         {
             return Reply::later("the upgrade is under way", 2);
         }
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -7,7 +7,7 @@
 use copperhaven_core::questions::shown_final;
 use copperhaven_core::state::served;
 use copperhaven_fairness::ledger::Refusal;
-use copperhaven_wire::jobs::{self, Shown};
+use copperhaven_wire::jobs::{self, JobStatus};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -116,18 +116,18 @@
                 }
             };
             if !c.has_room(spec.team, spec.tasks) {
-                c.service.refused(served::pair(&spec), Refusal::Memory);
+                c.service.submission_refused(served::pair(&spec), Refusal::Memory);
                 return Err(Reply::later("more tasks than fit into memory", spread(15)));
             }
             // Types that the cloud doesn't have can't matter, and a long list of them would not
             // fit into the record.
-            if let Some(berths) = &mut job.berths {
+            if let Some(berths) = &mut job.machine_types {
                 berths.sort_unstable();
                 berths.dedup();
                 berths.retain(|b| c.flavors.iter().any(|f| f.label == *b));
             }
             // Kept apart from the rest, however long the list is.
-            let awaits = job.awaits.take().unwrap_or_default();
+            let awaits = job.depends_on.take().unwrap_or_default();
             if c.empty_record_bytes(&job) + 64 > c.ledger.value_limit {
                 return Err(Reply::error(400, "malformed: names too long to be recorded"));
             }
@@ -155,7 +155,7 @@
                 Err(_) if dead => vec![0; c.pools()],
                 Ok(routed) => routed,
                 Err(nu) => {
-                    c.service.refused(served::pair(&spec), Refusal::Index);
+                    c.service.submission_refused(served::pair(&spec), Refusal::Index);
                     tracing::info!("refuse {uid}: lowest index {nu:.6} reaches the rejection cost");
                     let reply = Reply::error(429, "its deadline cannot be met now");
                     return Err(Reply { retry_after: 10, ..reply });
@@ -164,8 +164,8 @@
             tracing::debug!(
                 "take in {uid}: {} {} of {}, {:?} {:?}, {} tasks of {} cpus, {} GB image, due in {:?} s, after {awaits:?}",
                 if spec.spot { "spot" } else { "ordinary" },
-                job.lot,
-                job.owner,
+                job.class,
+                job.team,
                 spec.shape,
                 spec.precedence,
                 spec.tasks,
@@ -203,7 +203,7 @@
 
     pub(super) async fn cancel(&self, body: &[u8]) -> Reply {
         let Ok(uid) = std::str::from_utf8(body) else { return Reply::error(404, "unknown job") };
-        if !jobs::valid_uid(uid) {
+        if !jobs::is_valid_uid(uid) {
             return Reply::error(404, "unknown job");
         }
         let Some(term) = self.term() else { return Reply::later("no leader", 1) };
@@ -221,7 +221,7 @@
             return Reply::later("not in authority", 1);
         }
         self.kick();
-        let over = |s: &Shown| s.status == "aborted" || s.status == "done";
+        let over = |s: &JobStatus| s.status == "aborted" || s.status == "done";
         let shown = self.until(term, USER_LIMIT, |c, lead| c.show(uid).filter(|s| lead && over(s)));
         match shown.await {
             Some(shown) => Reply::new(200, &shown),
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -40,13 +40,13 @@
     let term = cell.term;
     let uids: Vec<String> = (2000..3000).map(|n| format!("wk-{n}")).collect();
     for uid in &uids {
-        let id = copperhaven_core::for_tests::add_job(&mut cell, uid, |b| b.parcels = 1);
+        let id = copperhaven_core::for_tests::add_job(&mut cell, uid, |b| b.tasks = 1);
         cell.applied_for_test(id);
     }
     let renewed = node.now();
     *node.state.lock().expect("lock") = State { cell: Some(cell), renewed, ..State::default() };
     let body = |n: usize, awaits: &[String]| jobs::JobBody {
-        awaits: Some(awaits.to_vec()),
+        depends_on: Some(awaits.to_vec()),
         ..copperhaven_core::for_tests::body(&format!("wk-{n}"))
     };
     for n in [0, 1, 300, 1000] {
@@ -62,7 +62,7 @@
     assert!(matches!(taken, Some(Taking::Refused(r)) if r.status == 422));
     let mut named = body(8, &[]);
     // What doesn't fit as it is measured is refused, and never waits to be written.
-    (named.lot, named.cargo) = ("\u{1}".repeat(200), "\u{1}".repeat(200));
+    (named.class, named.image) = ("\u{1}".repeat(200), "\u{1}".repeat(200));
     let taken = node.take_in(term, &encode(&named), &HashMap::new());
     assert!(matches!(taken, Some(Taking::Refused(r)) if r.status == 400));
 }
--- a/crates/controller/tests/world/checker.rs
+++ b/crates/controller/tests/world/checker.rs
@@ -1,6 +1,6 @@
 //! Counts at the workers; the rules are told by it, never by what the service says of itself.
 
-use copperhaven_wire::jobs::{JobBody, Shape};
+use copperhaven_wire::jobs::{JobBody, JobKind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,12 +69,12 @@
         let body = self.jobs.get(job).cloned().unwrap_or_else(|| panic!("no such job: {parcel}"));
         let mates: Vec<&Place> =
             self.on.iter().filter(|(p, _)| parts(p).0 == job).map(|(_, at)| at).collect();
-        let fits = body.yard.as_ref().is_none_or(|y| y == place.zone)
-            && body.berths.as_ref().is_none_or(|b| b.iter().any(|b| b == place.berth))
-            && (body.loaners || !place.spot)
-            && (!body.together || mates.iter().all(|m| m.zone == place.zone));
+        let fits = body.zone.as_ref().is_none_or(|y| y == place.zone)
+            && body.machine_types.as_ref().is_none_or(|b| b.iter().any(|b| b == place.berth))
+            && (body.spot || !place.spot)
+            && (!body.one_zone || mates.iter().all(|m| m.zone == place.zone));
         let beside = 1 + mates.iter().filter(|m| m.zone == place.zone).count() as u64;
-        let spread = !body.spread || beside <= body.parcels.div_ceil(2);
+        let spread = !body.spread || beside <= body.tasks.div_ceil(2);
         assert!(fits && spread, "wrong_place: {parcel} on {place:?} beside {mates:?}");
         self.started_late += usize::from(self.cancelled.contains_key(job));
         let before = self.on.insert(parcel.into(), place.clone());
@@ -86,7 +86,7 @@
     fn used(&self, owner: &str) -> f64 {
         let cpus = |parcel: &String| {
             let body = &self.jobs[parts(parcel).0];
-            if body.owner == owner { body.cpus } else { 0.0 }
+            if body.team == owner { body.cpus } else { 0.0 }
         };
         self.on.keys().map(cpus).sum()
     }
@@ -128,7 +128,7 @@
     }
 
     pub fn done_of(&self, uid: &str) -> (u32, u64) {
-        let all = self.jobs.get(uid).map_or(0, |b| b.parcels);
+        let all = self.jobs.get(uid).map_or(0, |b| b.tasks);
         (self.done.get(uid).copied().unwrap_or(0), all)
     }
 
@@ -145,7 +145,7 @@
         let mut idle = BTreeMap::new();
         for uid in open {
             let Some(body) = self.jobs.get(uid) else { continue };
-            let missing = (0..body.parcels)
+            let missing = (0..body.tasks)
                 .filter(|t| {
                     let parcel = format!("{uid}/{t}");
                     !self.on.contains_key(&parcel) && !self.ended.contains(&parcel)
@@ -160,17 +160,17 @@
             };
             // Bound to a zone, or to that of its tasks that are there.
             let mates = || self.on.iter().find(|(p, _)| parts(p).0 == uid).map(|(_, at)| at.zone);
-            let zone = body.yard.as_deref().or_else(|| mates().filter(|_| body.together));
-            let room = match (body.together, zone) {
+            let zone = body.zone.as_deref().or_else(|| mates().filter(|_| body.one_zone));
+            let room = match (body.one_zone, zone) {
                 (true, None) => ["north", "south", "west"]
                     .map(|z| room(Some(z)))
                     .into_iter()
                     .fold(0.0, f64::max),
                 _ => room(zone),
             };
-            let needs = if body.shape == Shape::Gang { body.parcels as f64 } else { 1.0 };
+            let needs = if body.kind == JobKind::Gang { body.tasks as f64 } else { 1.0 };
             let of = |(parcel, _): &&(String, f64)| {
-                self.jobs.get(parts(parcel).0).is_some_and(|b| b.owner == body.owner)
+                self.jobs.get(parts(parcel).0).is_some_and(|b| b.team == body.team)
             };
             let used: f64 = held.iter().filter(of).map(|(_, cpus)| cpus).sum();
             let under = used + needs * body.cpus <= self.limit;
--- a/crates/controller/tests/world/cloud.rs
+++ b/crates/controller/tests/world/cloud.rs
@@ -4,7 +4,7 @@
 use crate::network::{Host, Network};
 use crate::services::{CLOUD, serve};
 use crate::workers::{self, BERTH, CPUS, Worker};
-use copperhaven_wire::cloud::WireFlavor;
+use copperhaven_wire::cloud::WireMachineType;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -183,17 +183,17 @@
 
 /// Opens the cloud; `world` is there once anybody asks.
 pub fn open(net: &Arc<Network>, zones: &[&str], world: Weak<World>) {
-    let flavor = WireFlavor {
+    let flavor = WireMachineType {
         label: BERTH.into(),
         cpus: CPUS,
-        cards: 0.0,
+        gpus: 0.0,
         mem_gb: 32.0,
         cache_gb: 50.0,
-        fetch_gb_per_s: 1.0,
-        hourly: 1.0,
-        spot_price: 0.3,
-        startup_s: 20.0,
-        yards: zones.iter().map(ToString::to_string).collect(),
+        image_pull_gb_per_s: 1.0,
+        hourly_price: 1.0,
+        spot_hourly_price: 0.3,
+        boot_s: 20.0,
+        zones: zones.iter().map(ToString::to_string).collect(),
     };
     let accept = move |_, io| {
         let (flavor, world) = (flavor.clone(), world.clone());
--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -32,7 +32,7 @@
 use copperhaven::peers;
 use copperhaven::reply::Reply;
 use copperhaven_core::settings::Settings;
-use copperhaven_wire::jobs::Shown;
+use copperhaven_wire::jobs::JobStatus;
 use network::{Host, Mode, Network};
 use poem::http::Method;
 use poem::{Endpoint, Request};
@@ -389,7 +389,7 @@
         for uid in &accepted {
             let reply = self.node(0).ask(Op::Show, uid.as_bytes()).await;
             assert_ne!(reply.status, 404, "forgotten: {uid}");
-            let shown = rmp_serde::from_slice::<Shown>(&reply.body).expect("a job");
+            let shown = rmp_serde::from_slice::<JobStatus>(&reply.body).expect("a job");
             let (done, all) = self.checker.lock().expect("lock").done_of(uid);
             match shown.status.as_str() {
                 "done" => assert_eq!(u64::from(done), all, "not_done: {uid}"),
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -7,7 +7,7 @@
 use copperhaven::reply::Reply;
 use copperhaven_core::for_tests;
 use copperhaven_wire::encode;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape, Shown};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind, JobStatus};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,8 +56,8 @@
 impl Habits {
     /// How long a task of this job runs.
     pub fn run_of(&self, job: &JobBody, task: u32) -> Duration {
-        match (job.shape, job.lot.as_str()) {
-            (Shape::Service, _) => Duration::from_secs(1_000_000),
+        match (job.kind, job.class.as_str()) {
+            (JobKind::Service, _) => Duration::from_secs(1_000_000),
             (_, "apart") if task == 0 => self.run / 5,
             _ => self.run,
         }
@@ -66,52 +66,52 @@
     fn job(&self, n: u64) -> JobBody {
         let uid = format!("wk-{n:06}");
         let plain = JobBody {
-            lot: "c".into(),
-            parcels: 6,
+            class: "c".into(),
+            tasks: 6,
             mem_gb: 1.0,
-            pull_gb: 0.1,
-            expected_s: 8.0,
-            due_s: None,
+            image_gb: 0.1,
+            estimate_s: 8.0,
+            deadline_s: None,
             ..for_tests::body(&uid)
         };
         match self.mix {
             Mix::Plain => return plain,
-            Mix::Single => return JobBody { parcels: 1, lot: "one".into(), ..plain },
+            Mix::Single => return JobBody { tasks: 1, class: "one".into(), ..plain },
             Mix::All => {}
         }
         let owner = ["red", "blue"][(n / 2 % 2) as usize].to_string();
         let cargo = format!("img-{}", n % 3);
         let yard = Some(["north", "south", "west"][(n % 3) as usize].to_string());
-        let plain = JobBody { owner, cargo, pull_gb: 0.4, ..plain };
-        let gang = JobBody { shape: Shape::Gang, lot: "gang".into(), cpus: 2.0, ..plain.clone() };
+        let plain = JobBody { team: owner, image: cargo, image_gb: 0.4, ..plain };
+        let gang = JobBody { kind: JobKind::Gang, class: "gang".into(), cpus: 2.0, ..plain.clone() };
         match n % 11 {
             0 | 1 => plain,
-            2 => JobBody { parcels: 3, ..gang },
+            2 => JobBody { tasks: 3, ..gang },
             3 => JobBody {
-                parcels: 2,
+                tasks: 2,
                 cpus: 4.0,
-                together: true,
-                precedence: Precedence::High,
+                one_zone: true,
+                priority: Priority::High,
                 ..gang
             },
-            4 => JobBody { parcels: 4, lot: "zone".into(), yard, ..plain },
+            4 => JobBody { tasks: 4, class: "zone".into(), zone: yard, ..plain },
             5 => JobBody {
-                parcels: 3,
+                tasks: 3,
                 cpus: 2.0,
-                lot: "urgent".into(),
-                precedence: Precedence::High,
+                class: "urgent".into(),
+                priority: Priority::High,
                 ..plain
             },
             6 => JobBody {
-                parcels: 3,
-                shape: Shape::Service,
-                lot: "svc".into(),
+                tasks: 3,
+                kind: JobKind::Service,
+                class: "svc".into(),
                 spread: true,
                 ..plain
             },
-            7 | 8 => JobBody { parcels: 2 + n % 2, lot: "apart".into(), ..plain },
-            9 => JobBody { parcels: 2, lot: "bound".into(), yard, ..gang },
-            _ => JobBody { parcels: 5, lot: "near".into(), together: true, ..plain },
+            7 | 8 => JobBody { tasks: 2 + n % 2, class: "apart".into(), ..plain },
+            9 => JobBody { tasks: 2, class: "bound".into(), zone: yard, ..gang },
+            _ => JobBody { tasks: 5, class: "near".into(), one_zone: true, ..plain },
         }
     }
 }
@@ -232,7 +232,7 @@
         let reply = reply?;
         match reply.status {
             200 | 201 => {
-                let shown = rmp_serde::from_slice::<Shown>(&reply.body).expect("a job");
+                let shown = rmp_serde::from_slice::<JobStatus>(&reply.body).expect("a job");
                 self.tell(uid, &shown.status, sent);
                 Some(shown.status)
             }
@@ -339,7 +339,7 @@
 
 async fn submit(world: Arc<World>, n: u64) {
     let job = world.habits.job(n);
-    let (uid, service) = (job.uid.clone(), job.shape == Shape::Service);
+    let (uid, service) = (job.uid.clone(), job.kind == JobKind::Service);
     let body = encode(&job);
     world.checker.lock().expect("lock").jobs.insert(uid.clone(), Arc::new(job));
     world.users.lock().expect("lock").waiting.insert(uid.clone(), Instant::now());
@@ -426,9 +426,9 @@
         without("loaners"),
         without("memGb"),
         never(JobBody { cpus: 9.0, ..good.clone() }),
-        never(JobBody { owner: "green".into(), ..good.clone() }),
-        never(JobBody { yard: Some("east".into()), ..good.clone() }),
-        never(JobBody { berths: Some(vec!["m9".into()]), ..good.clone() }),
+        never(JobBody { team: "green".into(), ..good.clone() }),
+        never(JobBody { zone: Some("east".into()), ..good.clone() }),
+        never(JobBody { machine_types: Some(vec!["m9".into()]), ..good.clone() }),
     ];
     let (status, field, body) = &cases[(n / 3) as usize % cases.len()];
     for to in (0..world.count()).filter(|to| !world.is_down(*to)) {
--- a/crates/controller/tests/world/workers.rs
+++ b/crates/controller/tests/world/workers.rs
@@ -6,8 +6,8 @@
 use crate::services::serve;
 use copperhaven::cluster::frames::Op;
 use copperhaven_wire::encode;
-use copperhaven_wire::jobs::Shape;
-use copperhaven_wire::workers::{Parcel, Report};
+use copperhaven_wire::jobs::JobKind;
+use copperhaven_wire::workers::{TaskReport, Report};
 use rand::Rng;
 use serde::Deserialize;
 use serde_json::json;
@@ -150,8 +150,8 @@
                 Stage::Running(_) => ("running", None),
                 Stage::Ended(cause) => ("ended", Some(cause)),
             };
-            Parcel {
-                parcel: parcel.clone(),
+            TaskReport {
+                task_id: parcel.clone(),
                 attempt: t.attempt,
                 status: status.into(),
                 cause: cause.map(Into::into),
@@ -159,16 +159,16 @@
             }
         });
         Report {
-            hearth: self.name.clone(),
+            machine: self.name.clone(),
             addr: self.addr(),
-            berth: BERTH.into(),
-            yard: zones[self.zone].into(),
-            loaners: self.spot,
-            shift: self.shift,
-            tally: self.tally,
-            warrant: self.token,
-            recall_s: None,
-            parcels: parcels.collect(),
+            machine_type: BERTH.into(),
+            zone: zones[self.zone].into(),
+            spot: self.spot,
+            session: self.shift,
+            sequence: self.tally,
+            term: self.token,
+            reclaim_in_s: None,
+            tasks: parcels.collect(),
         }
     }
 
@@ -197,10 +197,10 @@
                 task.stage = if checker.has_ended(parcel) {
                     checker.off(parcel, &self.name, true);
                     Stage::Ended("done")
-                } else if body.shape == Shape::Gang {
+                } else if body.kind == JobKind::Gang {
                     let gang = gangs.entry((job.into(), task.attempt)).or_default();
                     gang.there.insert(number, self.name.clone());
-                    if gang.there.len() as u64 == body.parcels && gang.started.is_none() {
+                    if gang.there.len() as u64 == body.tasks && gang.started.is_none() {
                         gang.started = Some(now);
                     }
                     Stage::Waiting(now)
@@ -209,7 +209,7 @@
                 };
             }
             let Some(body) = checker.jobs.get(job).cloned() else { continue };
-            if body.shape == Shape::Gang && task.is_there() {
+            if body.kind == JobKind::Gang && task.is_there() {
                 let of = &world.settings.deployment.workers;
                 let gang = gangs.entry((job.into(), task.attempt)).or_default();
                 let torn =
@@ -220,7 +220,7 @@
                     _ if checker.has_ended(parcel) => Some("done"),
                     _ if torn => Some("mates_gone"),
                     (_, Some(_)) if gang.torn.is_none() && end.is_some_and(|end| now >= end) => {
-                        (0..body.parcels).for_each(|t| checker.end(&format!("{job}/{t}")));
+                        (0..body.tasks).for_each(|t| checker.end(&format!("{job}/{t}")));
                         Some("done")
                     }
                     (Stage::Waiting(since), None)
@@ -299,8 +299,8 @@
             return;
         }
         let now = Instant::now();
-        let pull = Duration::from_secs_f64(body.pull_gb);
-        let at = *self.images.entry(body.cargo.clone()).or_insert(now + pull);
+        let pull = Duration::from_secs_f64(body.image_gb);
+        let at = *self.images.entry(body.image.clone()).or_insert(now + pull);
         let stage = Stage::Pulling(at);
         let task = Task { attempt: o.attempt, stage, cpus: body.cpus, mem: body.mem_gb };
         self.tasks.insert(o.parcel.clone(), task);
--- a/crates/core/benches/leader.rs
+++ b/crates/core/benches/leader.rs
@@ -13,8 +13,8 @@
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::Taken;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
-use copperhaven_wire::workers::{Parcel, Report};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::workers::{TaskReport, Report};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -26,22 +26,22 @@
 /// A job of its kind by number: a gang, an array of small tasks, an array of middling ones.
 fn job(n: usize) -> JobBody {
     let mut b = body(&format!("wk-{n:06}"));
-    b.owner = ["red", "blue"][n % 2].into();
-    (b.berths, b.due_s, b.loaners) = (None, None, true);
-    b.cargo = format!("img-{}", n % 50);
+    b.team = ["red", "blue"][n % 2].into();
+    (b.machine_types, b.deadline_s, b.spot) = (None, None, true);
+    b.image = format!("img-{}", n % 50);
     let (shape, precedence, parcels, cpus, mem) = match n % 3 {
-        0 => (Shape::Gang, Precedence::Normal, [1, 2, 6][n / 3 % 3], 30.0, 51.0),
-        1 => (Shape::Array, Precedence::Low, 100, 1.0, 1.7),
-        _ => (Shape::Array, Precedence::Low, 60, 4.0, 6.1),
+        0 => (JobKind::Gang, Priority::Normal, [1, 2, 6][n / 3 % 3], 30.0, 51.0),
+        1 => (JobKind::Array, Priority::Low, 100, 1.0, 1.7),
+        _ => (JobKind::Array, Priority::Low, 60, 4.0, 6.1),
     };
-    (b.shape, b.precedence, b.parcels, b.cpus, b.mem_gb) = (shape, precedence, parcels, cpus, mem);
+    (b.kind, b.priority, b.tasks, b.cpus, b.mem_gb) = (shape, precedence, parcels, cpus, mem);
     b
 }
 
 fn busy(machines: usize) -> JobBody {
     // Nothing is stopped for those who wait: that is not what one change costs.
-    let precedence = Precedence::High;
-    JobBody { uid: BUSY.into(), parcels: machines as u64 * 8, precedence, ..job(2) }
+    let precedence = Priority::High;
+    JobBody { uid: BUSY.into(), tasks: machines as u64 * 8, priority: precedence, ..job(2) }
 }
 
 fn name(i: usize) -> String {
@@ -52,9 +52,9 @@
     format!("10.{}.{}.1:9", i / 250, i % 250)
 }
 
-fn told(i: usize, tally: u64, parcels: Vec<Parcel>) -> Report {
+fn told(i: usize, tally: u64, parcels: Vec<TaskReport>) -> Report {
     let berth = "large".into();
-    Report { hearth: name(i), addr: addr(i), berth, parcels, ..report(1, tally, TERM, &[]) }
+    Report { machine: name(i), addr: addr(i), machine_type: berth, tasks: parcels, ..report(1, tally, TERM, &[]) }
 }
 
 fn empty(machines: usize) -> Cell {
@@ -115,8 +115,8 @@
 /// What its list has is running there.
 fn running(c: &Cell, i: usize, tally: u64) -> Report {
     let m = c.machines.id(&name(i)).and_then(|mid| c.machines.get(&mid)).expect("there");
-    let parcels = m.entries.iter().map(|((id, t), e)| Parcel {
-        parcel: c.parcel(*id, *t),
+    let parcels = m.entries.iter().map(|((id, t), e)| TaskReport {
+        task_id: c.parcel(*id, *t),
         attempt: e.attempt,
         status: "running".into(),
         cause: None,
@@ -171,7 +171,7 @@
                 let before = |c: &mut Cell, round: u64| {
                     (tally, now) = (tally + 1, now + 60);
                     let mut r = running(c, (round as usize * 7) % size, tally);
-                    if let Some(p) = r.parcels.first_mut() {
+                    if let Some(p) = r.tasks.first_mut() {
                         (p.status, p.cause) = ("ended".into(), Some("done".into()));
                     }
                     c.on_report(&r, now);
--- a/crates/core/examples/flood.rs
+++ b/crates/core/examples/flood.rs
@@ -14,8 +14,8 @@
 use copperhaven_core::state::ledger::Key;
 use copperhaven_core::state::names::Names;
 use copperhaven_core::workers::reports::Taken;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
-use copperhaven_wire::workers::{Order, Parcel, Report};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::workers::{Order, TaskReport, Report};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -115,30 +115,30 @@
     /// A job of one of three classes; gangs come for all machines, arrays for four times as much.
     fn submit(&mut self, kind: usize, n: usize) {
         let mut b: JobBody = body(&format!("wk-{kind}{n:06}"));
-        b.owner = format!("team-{}", self.rng.random_range(0..12));
-        b.berths = None;
-        b.loaners = kind > 0;
-        b.due_s = None;
-        b.cargo = format!("img-{kind}-{}", self.rng.random_range(0..20));
+        b.team = format!("team-{}", self.rng.random_range(0..12));
+        b.machine_types = None;
+        b.spot = kind > 0;
+        b.deadline_s = None;
+        b.image = format!("img-{kind}-{}", self.rng.random_range(0..20));
         let (name, shape, precedence, tasks, cpus, mem, gb, run) = match kind {
             0 => {
                 let n = [1, 2, 6][self.rng.random_range(0..3)];
-                ("gang", Shape::Gang, Precedence::Normal, n, 30.0, 51.0, 2.5, 80.0)
+                ("gang", JobKind::Gang, Priority::Normal, n, 30.0, 51.0, 2.5, 80.0)
             }
             1 => {
                 let n = self.rng.random_range(60..400);
-                ("lint", Shape::Array, Precedence::Low, n, 1.0, 1.7, 1.5, 20.0)
+                ("lint", JobKind::Array, Priority::Low, n, 1.0, 1.7, 1.5, 20.0)
             }
             _ => {
                 let n = self.rng.random_range(30..120);
-                ("match", Shape::Array, Precedence::Low, n, 4.0, 6.1, 1.5, 80.0)
+                ("match", JobKind::Array, Priority::Low, n, 4.0, 6.1, 1.5, 80.0)
             }
         };
-        (b.lot, b.shape, b.precedence, b.parcels) = (name.into(), shape, precedence, tasks);
-        (b.cpus, b.mem_gb, b.pull_gb, b.expected_s) = (cpus, mem, gb, run);
-        (b.stamp_every_s, b.stamp_s) = if kind == 1 { (0.0, 0.0) } else { (30.0, 3.0) };
-        b.due_s = (kind == 1).then_some(run * 4.0);
-        self.jobs.insert(b.uid.clone(), (b.cargo.clone(), (run * 1000.0) as u64, kind == 0));
+        (b.class, b.kind, b.priority, b.tasks) = (name.into(), shape, precedence, tasks);
+        (b.cpus, b.mem_gb, b.image_gb, b.estimate_s) = (cpus, mem, gb, run);
+        (b.checkpoint_interval_s, b.checkpoint_save_s) = if kind == 1 { (0.0, 0.0) } else { (30.0, 3.0) };
+        b.deadline_s = (kind == 1).then_some(run * 4.0);
+        self.jobs.insert(b.uid.clone(), (b.image.clone(), (run * 1000.0) as u64, kind == 0));
         let (now, cell) = (self.now, &mut self.cell);
         self.spent.on("submission", || {
             let settings = cell.settings.clone();
@@ -170,15 +170,15 @@
                 () => ("ended", Some("done".to_string())),
             };
             let (parcel, status) = (name.clone(), status.to_string());
-            Parcel { parcel, attempt: t.attempt, status, cause, kept: false }
+            TaskReport { task_id: parcel, attempt: t.attempt, status, cause, kept: false }
         });
         let parcels = parcels.collect();
         Report {
-            hearth: format!("n-{i:06}"),
+            machine: format!("n-{i:06}"),
             addr: format!("10.0.{}.{}:9", i / 250, i % 250),
-            berth: "large".into(),
-            yard: ZONES[i % 4].into(),
-            parcels,
+            machine_type: "large".into(),
+            zone: ZONES[i % 4].into(),
+            tasks: parcels,
             ..report(1, m.tally, 7, &[])
         }
     }
@@ -188,7 +188,7 @@
         for order in orders {
             let m = &mut self.machines[i];
             match order {
-                Order::Run { parcel, attempt } => {
+                Order::Run { task_id: parcel, attempt } => {
                     let uid = parcel.split('/').next().expect("a parcel");
                     let Some((image, run, _)) = self.jobs.get(uid) else { continue };
                     let there = *m.images.entry(image.clone()).or_insert(now + 12_000);
@@ -197,10 +197,10 @@
                     self.started += 1;
                     m.tasks.insert(parcel, Task { attempt, ready, end: ready + run });
                 }
-                Order::Halt { parcel, .. } => {
+                Order::Halt { task_id: parcel, .. } => {
                     m.tasks.remove(&parcel);
                 }
-                Order::Forget { parcel, .. } => {
+                Order::Forget { task_id: parcel, .. } => {
                     self.done += u64::from(m.tasks.remove(&parcel).is_some());
                 }
             }
@@ -248,7 +248,7 @@
                 let Taken::Answer(mid) = taken else { continue };
                 self.place();
                 let cell = &mut self.cell;
-                let at = (r.shift, r.tally);
+                let at = (r.session, r.sequence);
                 // Answered at once, though orders may not be safe yet: they go with the next.
                 let orders = self.spent.on("orders", || cell.orders(mid, at, now, true));
                 let list = orders.map(|o| o.orders).unwrap_or_default();
--- a/crates/core/examples/memory.rs
+++ b/crates/core/examples/memory.rs
@@ -23,7 +23,7 @@
         let spec = cell.jobs.get(&id).map(|j| (*j.spec).clone());
         cell.jobs.remove(&id);
         if let (Some(mut body), Some(mut spec)) = (body, spec) {
-            body.parcels = tasks;
+            body.tasks = tasks;
             spec.tasks = tasks as u32;
             cell.insert_job(spec, body, 1, 1);
         }
--- a/crates/core/src/admission/shape.rs
+++ b/crates/core/src/admission/shape.rs
@@ -4,7 +4,7 @@
 use crate::state::fleet::Flavor;
 use crate::state::job::{EPS, Spec};
 use crate::state::names::*;
-use copperhaven_wire::jobs::{JobBody, Shape};
+use copperhaven_wire::jobs::{JobBody, JobKind};
 
 /// A job that can never run (protocol, status 422), and why.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -19,10 +19,10 @@
     settings: &Settings,
 ) -> Result<Spec, Never> {
     let never = |why: String| Err(Never(why));
-    let Some(team) = names.teams.get(&job.owner) else {
-        return never(format!("unknown team {}", job.owner));
+    let Some(team) = names.teams.get(&job.team) else {
+        return never(format!("unknown team {}", job.team));
     };
-    let zone = match &job.yard {
+    let zone = match &job.zone {
         None => None,
         Some(z) => match names.zones.get(z) {
             Some(z) => Some(z),
@@ -32,43 +32,43 @@
     let types: Vec<TypeId> = flavors
         .iter()
         .enumerate()
-        .filter(|(_, f)| job.berths.as_ref().is_none_or(|b| b.contains(&f.label)))
+        .filter(|(_, f)| job.machine_types.as_ref().is_none_or(|b| b.contains(&f.label)))
         .filter(|(_, f)| zone.is_none_or(|z| f.zones.contains(&z)))
-        .filter(|(_, f)| job.cpus <= f.cpus && job.cards <= f.cards && job.mem_gb <= f.mem_gb)
+        .filter(|(_, f)| job.cpus <= f.cpus && job.gpus <= f.cards && job.mem_gb <= f.mem_gb)
         .map(|(i, _)| TypeId::from(i))
         .collect();
     if types.is_empty() {
         return never("a task fits no allowed machine type".into());
     }
     let limit = &settings.deployment.teams[team.ix()];
-    let tasks = if job.shape == Shape::Array { 1.0 } else { job.parcels as f64 };
-    if job.cpus * tasks > limit.cpus_max + EPS || job.cards * tasks > limit.gpus_max + EPS {
-        return never(format!("needs more than the limit of {}", job.owner));
+    let tasks = if job.kind == JobKind::Array { 1.0 } else { job.tasks as f64 };
+    if job.cpus * tasks > limit.cpus_max + EPS || job.gpus * tasks > limit.gpus_max + EPS {
+        return never(format!("needs more than the limit of {}", job.team));
     }
-    if job.together && job.spread && job.parcels > 1 && job.shape != Shape::Array {
+    if job.one_zone && job.spread && job.tasks > 1 && job.kind != JobKind::Array {
         return never("all tasks in one zone, yet at most half of them in one".into());
     }
     Ok(Spec {
         uid: job.uid.as_str().into(),
-        class: names.classes.intern(&job.lot),
+        class: names.classes.intern(&job.class),
         team,
-        shape: job.shape,
-        precedence: job.precedence,
-        tasks: job.parcels as u32,
+        shape: job.kind,
+        precedence: job.priority,
+        tasks: job.tasks as u32,
         cpus: job.cpus,
-        cards: job.cards,
+        cards: job.gpus,
         mem_gb: job.mem_gb,
-        image: names.images.intern(&job.cargo),
-        image_gb: job.pull_gb,
+        image: names.images.intern(&job.image),
+        image_gb: job.image_gb,
         types,
         zone,
-        one_zone: job.together,
+        one_zone: job.one_zone,
         spread: job.spread,
-        spot: job.loaners,
-        estimate_s: job.expected_s,
-        checkpoint_s: job.stamp_every_s,
-        save_s: job.stamp_s,
-        deadline_s: job.due_s,
+        spot: job.spot,
+        estimate_s: job.estimate_s,
+        checkpoint_s: job.checkpoint_interval_s,
+        save_s: job.checkpoint_save_s,
+        deadline_s: job.deadline_s,
     })
 }
 
@@ -87,17 +87,17 @@
         let cases: [(Option<&str>, Edit); 10] = [
             (None, |_| ()),
             // A team with neither guarantee nor limit is served like any other.
-            (None, |b| (b.owner, b.parcels, b.cpus) = ("guest".into(), 100_000, 0.25)),
-            (Some("team"), |b| b.owner = "green".into()),
-            (Some("zone"), |b| b.yard = Some("west".into())),
+            (None, |b| (b.team, b.tasks, b.cpus) = ("guest".into(), 100_000, 0.25)),
+            (Some("team"), |b| b.team = "green".into()),
+            (Some("zone"), |b| b.zone = Some("west".into())),
             (Some("type"), |b| b.cpus = 33.0),
-            (Some("type"), |b| b.berths = Some(vec![])),
+            (Some("type"), |b| b.machine_types = Some(vec![])),
             (Some("limit"), |b| {
-                (b.owner, b.shape, b.cpus, b.parcels) = ("blue".into(), Shape::Gang, 12.0, 3)
+                (b.team, b.kind, b.cpus, b.tasks) = ("blue".into(), JobKind::Gang, 12.0, 3)
             }),
-            (None, |b| (b.owner, b.cpus, b.parcels) = ("blue".into(), 12.0, 3)),
-            (Some("one zone"), |b| (b.shape, b.together, b.spread) = (Shape::Gang, true, true)),
-            (None, |b| b.berths = Some(vec!["big".into(), "unheard".into()])),
+            (None, |b| (b.team, b.cpus, b.tasks) = ("blue".into(), 12.0, 3)),
+            (Some("one zone"), |b| (b.kind, b.one_zone, b.spread) = (JobKind::Gang, true, true)),
+            (None, |b| b.machine_types = Some(vec!["big".into(), "unheard".into()])),
         ];
         for (i, (expect, edit)) in cases.into_iter().enumerate() {
             let mut b = body("wk-1");
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -9,8 +9,8 @@
 use crate::state::machine::Seen;
 use crate::state::names::*;
 use crate::state::teams::{Split, Usage};
-use copperhaven_fairness::need::Need;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_fairness::need::DeficitLevel;
+use copperhaven_wire::jobs::JobKind;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 impl Cell {
@@ -18,7 +18,7 @@
     /// or guarantee presses, fewer where the class's objective leaves time for more than one
     /// round.
     fn wanted(&self, spec: &Spec, waiting: u32, guaranteed: bool) -> u32 {
-        if spec.shape != Shape::Array || guaranteed || spec.deadline_s.is_some() {
+        if spec.shape != JobKind::Array || guaranteed || spec.deadline_s.is_some() {
             return waiting;
         }
         let class = self.names.classes.name(spec.class.ix());
@@ -86,7 +86,7 @@
                 let Some(job) = self.jobs.get(id) else { continue };
                 let run = self.rates.run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
                 let ran = now.saturating_sub(e.running_at) as f64 / 1000.0;
-                let running = e.seen == Seen::Running && job.spec.shape != Shape::Service;
+                let running = e.seen == Seen::Running && job.spec.shape != JobKind::Service;
                 if e.stop.is_some() || (running && run - ran < boot) {
                     s.take_back(&job.spec);
                 }
@@ -129,7 +129,7 @@
             .into_iter()
             .filter_map(|id| {
                 let team = self.jobs.get(&id)?.spec.team;
-                let (team_need, class_need) = (false, Need::NONE);
+                let (team_need, class_need) = (false, DeficitLevel::NONE);
                 Some(Ranked { id, guaranteed: false, team, team_need, class_need })
             })
             .collect();
@@ -147,20 +147,20 @@
             };
             // By need work of any precedence may go before: then nothing makes way for certain, and a
             // machine would only wait until the team's limit lets it be used.
-            let last = if needs.any() { 3 } else { spec.precedence as usize };
+            let last = if needs.has_any() { 3 } else { spec.precedence as usize };
             let above = &mut used[spec.team.ix()][..=last];
             let cpus = above.iter().map(|u| u.cpus).sum();
             let cards = above.iter().map(|u| u.cards).sum();
             let quota =
                 room(team.cpus_max, cpus, spec.cpus).min(room(team.gpus_max, cards, spec.cards))
                     as u32;
-            let failing = job.is_failing() && spec.shape != Shape::Gang;
+            let failing = job.is_failing() && spec.shape != JobKind::Gang;
             if failing && !job.onto.is_empty() {
                 continue;
             }
             let waiting = if failing { 1 } else { job.waiting.len() };
             let mut n = self.wanted(spec, waiting, r.guaranteed).min(quota);
-            if spec.shape == Shape::Gang && n < waiting {
+            if spec.shape == JobKind::Gang && n < waiting {
                 continue;
             }
             let u = &mut above[spec.precedence as usize];
--- a/crates/core/src/fleet/rentals.rs
+++ b/crates/core/src/fleet/rentals.rs
@@ -99,15 +99,15 @@
                 continue;
             }
             let (Some(kind), Some(zone)) =
-                (self.names.types.get(&h.berth), self.names.zones.get(&h.yard))
+                (self.names.types.get(&h.machine_type), self.names.zones.get(&h.zone))
             else {
                 continue;
             };
-            let held = (h.held_s.clamp(0.0, 1e6) * 1000.0) as u64;
+            let held = (h.rented_s.clamp(0.0, 1e6) * 1000.0) as u64;
             let b = self.fleet.booting.entry(h.uid.clone()).or_insert_with(|| Booting {
                 kind,
                 zone,
-                spot: h.loaners,
+                spot: h.spot,
                 since: now.saturating_sub(held),
                 known: now,
                 listed: now,
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -48,15 +48,15 @@
     // twenty seconds, and the others' gangs found none. It must still get done in the end.
     type Edit = fn(&mut copperhaven_wire::jobs::JobBody);
     let cases: [(Edit, u64, bool); 4] = [
-        (|b| (b.owner, b.due_s) = ("guest".into(), None), 60_000, true),
-        (|b| (b.owner, b.due_s) = ("guest".into(), None), 700_000, false),
-        (|b| (b.owner, b.due_s, b.loaners) = ("guest".into(), None, false), 60_000, false),
-        (|b| b.due_s = None, 60_000, false),
+        (|b| (b.team, b.deadline_s) = ("guest".into(), None), 60_000, true),
+        (|b| (b.team, b.deadline_s) = ("guest".into(), None), 700_000, false),
+        (|b| (b.team, b.deadline_s, b.spot) = ("guest".into(), None, false), 60_000, false),
+        (|b| b.deadline_s = None, 60_000, false),
     ];
     for (i, (edit, waited, only_cheap)) in cases.into_iter().enumerate() {
         let mut c = crate::for_tests::cell();
         let mut body = crate::for_tests::body("wk-1");
-        (body.lot, body.cpus) = ("study".into(), 0.25);
+        (body.class, body.cpus) = ("study".into(), 0.25);
         edit(&mut body);
         let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
         let spec = crate::admission::shape::admit_shape(&body, &mut c.names, &flavors, &settings);
--- a/crates/core/src/for_tests.rs
+++ b/crates/core/src/for_tests.rs
@@ -8,10 +8,10 @@
 use crate::state::ledger::Key;
 use crate::state::names::*;
 use crate::workers::reports::Taken;
-use copperhaven_wire::cloud::WireFlavor;
+use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::jobs::JobBody;
-pub use copperhaven_wire::jobs::sample as body;
-use copperhaven_wire::workers::{Order, Parcel, Report};
+pub use copperhaven_wire::jobs::sample_job as body;
+use copperhaven_wire::workers::{Order, TaskReport, Report};
 use std::sync::Arc;
 
 pub const TERM: u64 = 7;
@@ -64,8 +64,8 @@
         .iter()
         .map(|(p, attempt, status)| {
             let (status, cause) = status.split_once(':').unwrap_or((status, ""));
-            Parcel {
-                parcel: (*p).into(),
+            TaskReport {
+                task_id: (*p).into(),
                 attempt: *attempt,
                 status: status.into(),
                 cause: (!cause.is_empty()).then(|| cause.into()),
@@ -74,16 +74,16 @@
         })
         .collect();
     Report {
-        hearth: "n-1".into(),
+        machine: "n-1".into(),
         addr: "127.0.0.1:9".into(),
-        berth: "small".into(),
-        yard: "north".into(),
-        loaners: false,
-        shift,
-        tally,
-        warrant,
-        recall_s: None,
-        parcels,
+        machine_type: "small".into(),
+        zone: "north".into(),
+        spot: false,
+        session: shift,
+        sequence: tally,
+        term: warrant,
+        reclaim_in_s: None,
+        tasks: parcels,
     }
 }
 
@@ -102,7 +102,7 @@
     c.place(now);
     commit(c);
     c.check();
-    c.orders(mid, (r.shift, r.tally), now, true).expect("orders").orders
+    c.orders(mid, (r.session, r.sequence), now, true).expect("orders").orders
 }
 
 /// Lines of the sample that other tests have otherwise.
@@ -159,17 +159,17 @@
 }
 
 pub fn flavors(names: &mut Names) -> Vec<Flavor> {
-    let make = |label: &str, cpus: f64, hourly: f64| WireFlavor {
+    let make = |label: &str, cpus: f64, hourly: f64| WireMachineType {
         label: label.into(),
         cpus,
-        cards: 0.0,
+        gpus: 0.0,
         mem_gb: cpus * 4.0,
         cache_gb: 50.0,
-        fetch_gb_per_s: 0.2,
-        hourly,
-        spot_price: hourly / 3.0,
-        startup_s: 20.0,
-        yards: vec!["north".into(), "south".into()],
+        image_pull_gb_per_s: 0.2,
+        hourly_price: hourly,
+        spot_hourly_price: hourly / 3.0,
+        boot_s: 20.0,
+        zones: vec!["north".into(), "south".into()],
     };
     [make("small", 4.0, 0.2), make("big", 32.0, 1.8)]
         .iter()
@@ -181,17 +181,17 @@
 }
 
 /// A machine type of 32 CPUs in these zones, as the cloud tells it.
-pub fn large(yards: &[&str]) -> WireFlavor {
-    WireFlavor {
+pub fn large(yards: &[&str]) -> WireMachineType {
+    WireMachineType {
         label: "large".into(),
         cpus: 32.0,
-        cards: 0.0,
+        gpus: 0.0,
         mem_gb: 64.0,
         cache_gb: 50.0,
-        fetch_gb_per_s: 0.2,
-        hourly: 1.5,
-        spot_price: 0.4,
-        startup_s: 50.0,
-        yards: yards.iter().map(ToString::to_string).collect(),
+        image_pull_gb_per_s: 0.2,
+        hourly_price: 1.5,
+        spot_hourly_price: 0.4,
+        boot_s: 50.0,
+        zones: yards.iter().map(ToString::to_string).collect(),
     }
 }
--- a/crates/core/src/pipelines/awaits.rs
+++ b/crates/core/src/pipelines/awaits.rs
@@ -5,7 +5,7 @@
 use crate::state::ledger::Key;
 use crate::state::names::*;
 use crate::state::served;
-use copperhaven_wire::jobs::{JobBody, Shape};
+use copperhaven_wire::jobs::{JobBody, JobKind};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -59,7 +59,7 @@
         let saved = |v: Option<u64>| v.is_some_and(|v| self.is_saved(&Key::Job(id), v));
         match () {
             () if !self.accepted(id, job) || job.doubt => Named::Unrecorded,
-            () if job.spec.shape == Shape::Service => Named::Service,
+            () if job.spec.shape == JobKind::Service => Named::Service,
             () if saved(job.cancel_ver) => Named::Cancelled,
             () if job.cancelled() => Named::Open,
             () if saved(job.final_ver) => Named::Done,
@@ -116,7 +116,7 @@
             job.accept_ver = ver;
         }
         if let Some(pair) = self.jobs.get(&id).map(|j| served::pair(&j.spec)) {
-            self.service.taken(pair);
+            self.service.job_accepted(pair);
         }
         if dead {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -165,7 +165,7 @@
         job.wait = Wait::Others;
         let (awaits, spec, due) = (job.awaits.clone(), job.spec.clone(), job.due);
         self.queue.remove(&turn);
-        self.service.forget(served::key(id));
+        self.service.remove_job(served::key(id));
         let due = due.map(|d| d - self.run_ms(id));
         for uid in awaits {
             self.links.needed.entry(uid.clone()).or_default().push(id);
--- a/crates/core/src/pipelines/follow.rs
+++ b/crates/core/src/pipelines/follow.rs
@@ -5,7 +5,7 @@
 use crate::state::ledger::Key;
 use crate::state::names::*;
 use crate::state::served;
-use copperhaven_wire::jobs::Precedence;
+use copperhaven_wire::jobs::Priority;
 
 /// Steps at a time, so that fans and chains of thousands never hold the leader up.
 pub(super) const STEPS: usize = 1000;
@@ -58,7 +58,7 @@
         {
             let Some(id) = self.jobs.id(&uid) else { continue };
             let Some(job) = self.jobs.get(&id).filter(|j| j.open()) else { continue };
-            let mut precedence = job.body.precedence;
+            let mut precedence = job.body.priority;
             let own = job.spec.deadline_s.map(|s| job.born + span_ms(s));
             let mut due = own;
             let after = self.links.needed.get(&uid).map_or(&[][..], |a| a);
@@ -90,7 +90,7 @@
 
     /// A job's priority and urgency, its own or from those that need it; what changes goes on to
     /// the jobs that it needs.
-    fn set_standing(&mut self, id: JobId, precedence: Precedence, due: Option<i64>) {
+    fn set_standing(&mut self, id: JobId, precedence: Priority, due: Option<i64>) {
         let Some(job) = self.jobs.get(&id) else { return };
         if (job.spec.precedence, job.due) == (precedence, due) {
             return;
@@ -144,7 +144,7 @@
         job.derived = true;
         job.waiting.clear();
         let (turn, uid) = ((job.turn_at, id), job.spec.uid.clone());
-        self.service.cancelled(served::key(id), served::pair(&job.spec));
+        self.service.job_cancelled(served::key(id), served::pair(&job.spec));
         self.links.reconsider(job);
         self.queue.remove(&turn);
         self.links.decide(uid, false);
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -6,7 +6,7 @@
 use crate::state::cell::Cell;
 use crate::state::names::*;
 use crate::takeover::{Records, rebuild};
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -86,15 +86,15 @@
 #[test]
 fn nothing_starts_before_all_that_it_needs_is_recorded_as_done() {
     let mut c = cell();
-    add_job(&mut c, "wk-1", |b| b.parcels = 1);
-    add_job(&mut c, "wk-2", |b| b.parcels = 1);
+    add_job(&mut c, "wk-1", |b| b.tasks = 1);
+    add_job(&mut c, "wk-2", |b| b.tasks = 1);
     commit(&mut c);
-    let id = add_waiting(&mut c, "wk-3", &["wk-1", "wk-2", "wk-1"], |b| b.parcels = 2);
+    let id = add_waiting(&mut c, "wk-3", &["wk-1", "wk-2", "wk-1"], |b| b.tasks = 2);
     assert_eq!(status(&c, "wk-3"), "none", "not before its links are recorded");
     commit(&mut c);
     let shown = c.show("wk-3").expect("accepted");
-    assert_eq!((shown.status.as_str(), shown.awaits.len()), ("queued", 2));
-    assert!(["wk-1", "wk-2"].contains(&shown.held_by.expect("a step").uid.as_str()));
+    assert_eq!((shown.status.as_str(), shown.pending_dependencies.len()), ("queued", 2));
+    assert!(["wk-1", "wk-2"].contains(&shown.blocked_by.expect("a step").uid.as_str()));
     // It is in no queue: not ranked, no load, no place, no machines rented.
     assert!(
         c.ranked(&c.who_needs(), T0).iter().all(|r| r.id != id)
@@ -121,9 +121,9 @@
 #[test]
 fn a_ready_job_is_not_placed_before_its_record_says_that_it_is() {
     let mut c = cell();
-    add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
-    let id = add_waiting(&mut c, "wk-2", &["wk-1"], |b| b.parcels = 1);
+    let id = add_waiting(&mut c, "wk-2", &["wk-1"], |b| b.tasks = 1);
     commit(&mut c);
     c.on_report(&report(1, 1, 7, &[]), T0);
     finish(&mut c, "wk-1");
@@ -136,7 +136,7 @@
         _ => None,
     });
     let r = put.expect("recorded");
-    assert!(r.waits.is_none() && r.job.berths.is_none());
+    assert!(r.waits.is_none() && r.job.machine_types.is_none());
     c.place(T0 + 100);
     assert!(c.jobs[&id].waiting.is_empty());
 }
@@ -145,9 +145,9 @@
 fn what_a_submission_may_name() {
     let mut c = cell();
     add_job(&mut c, "wk-1", |_| ());
-    let done = add_job(&mut c, "wk-2", |b| b.parcels = 1);
+    let done = add_job(&mut c, "wk-2", |b| b.tasks = 1);
     let ended = add_job(&mut c, "wk-3", |_| ());
-    add_job(&mut c, "wk-4", |b| (b.shape, b.due_s) = (Shape::Service, None));
+    add_job(&mut c, "wk-4", |b| (b.kind, b.deadline_s) = (JobKind::Service, None));
     commit(&mut c);
     c.task_done(done, 0);
     c.cancel(ended, T0);
@@ -190,7 +190,7 @@
         let mut store = BTreeMap::new();
         let mut c = cell();
         add_job(&mut c, "wk-1", |_| ());
-        add_job(&mut c, "wk-7", |b| b.parcels = 1);
+        add_job(&mut c, "wk-7", |b| b.tasks = 1);
         apply(&mut store, commit(&mut c));
         for (uid, on) in [
             ("wk-2", &["wk-1"][..]),
@@ -199,7 +199,7 @@
             ("wk-5", &["wk-4"]),
             ("wk-6", &["wk-7"]),
         ] {
-            add_waiting(&mut c, uid, on, |b| b.owner = "blue".into());
+            add_waiting(&mut c, uid, on, |b| b.team = "blue".into());
             apply(&mut store, commit(&mut c));
         }
         finish(&mut c, "wk-7");
@@ -250,7 +250,7 @@
 #[test]
 fn a_cancellation_that_comes_too_late_cancels_nothing() {
     let mut c = cell();
-    add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     add_waiting(&mut c, "wk-2", &["wk-1"], |_| ());
     commit(&mut c);
@@ -267,21 +267,21 @@
     // Neither recursion nor one huge event; each step is bounded, and all get there.
     for chain in [true, false] {
         let mut c = cell();
-        add_job(&mut c, "wk-0", |b| b.parcels = 1);
+        add_job(&mut c, "wk-0", |b| b.tasks = 1);
         commit(&mut c);
         let n = 3000;
         for i in 1..=n {
             let on = if chain { format!("wk-{}", i - 1) } else { "wk-0".into() };
             let on = [Arc::from(on.as_str())];
             let id = add_job(&mut c, &format!("wk-{i}"), |b| {
-                (b.parcels, b.due_s, b.precedence) = (1, None, Precedence::Low);
+                (b.tasks, b.deadline_s, b.priority) = (1, None, Priority::Low);
             });
             c.park(id, on.to_vec(), T0);
             c.applied_for_test(id);
         }
         // The last one's priority flows back to the first, some steps at a time.
         let last = c.jobs.id(format!("wk-{n}").as_str()).expect("known");
-        let id = add_job(&mut c, "wk-9999", |b| b.precedence = Precedence::High);
+        let id = add_job(&mut c, "wk-9999", |b| b.priority = Priority::High);
         c.park(id, vec![c.jobs[&last].spec.uid.clone()], T0);
         c.applied_for_test(id);
         let rounds = |c: &mut Cell| {
@@ -291,7 +291,7 @@
         };
         rounds(&mut c);
         let first = c.jobs.id("wk-0").expect("known");
-        assert_eq!(c.jobs[&first].spec.precedence, Precedence::High);
+        assert_eq!(c.jobs[&first].spec.precedence, Priority::High);
         assert!(c.jobs[&first].due.is_some());
         c.cancel(first, T0);
         let batch = c.batch(16).expect("its record");
@@ -312,7 +312,7 @@
         let mut uids = vec![];
         for i in 0..n {
             let uid = format!("wk-{i:020}");
-            let id = add_job(&mut c, &uid, |b| b.parcels = 1);
+            let id = add_job(&mut c, &uid, |b| b.tasks = 1);
             c.applied_for_test(id);
             uids.push(uid);
         }
@@ -352,15 +352,15 @@
 fn priority_and_urgency_flow_back_and_only_to_what_is_needed() {
     let mut c = cell();
     for uid in ["wk-1", "wk-2"] {
-        add_job(&mut c, uid, |b| (b.due_s, b.parcels) = (None, 1));
+        add_job(&mut c, uid, |b| (b.deadline_s, b.tasks) = (None, 1));
     }
     commit(&mut c);
     let before = c.jobs[&c.jobs.id("wk-1").expect("known")].due;
     assert_eq!(before, None);
-    add_waiting(&mut c, "wk-3", &["wk-1"], |b| b.due_s = None);
+    add_waiting(&mut c, "wk-3", &["wk-1"], |b| b.deadline_s = None);
     commit(&mut c);
     let last = add_waiting(&mut c, "wk-4", &["wk-3"], |b| {
-        (b.precedence, b.due_s) = (Precedence::High, Some(90.0));
+        (b.priority, b.deadline_s) = (Priority::High, Some(90.0));
     });
     commit(&mut c);
     let standing = |c: &Cell, uid: &str| {
@@ -368,18 +368,18 @@
         (j.spec.precedence, j.due.map(|d| d - T0 as i64))
     };
     // Each has to be done a run of 20 s before the next.
-    assert_eq!(standing(&c, "wk-4"), (Precedence::High, Some(90_000)));
-    assert_eq!(standing(&c, "wk-3"), (Precedence::High, Some(70_000)));
-    assert_eq!(standing(&c, "wk-1"), (Precedence::High, Some(50_000)));
-    assert_eq!(standing(&c, "wk-2"), (Precedence::Low, None));
+    assert_eq!(standing(&c, "wk-4"), (Priority::High, Some(90_000)));
+    assert_eq!(standing(&c, "wk-3"), (Priority::High, Some(70_000)));
+    assert_eq!(standing(&c, "wk-1"), (Priority::High, Some(50_000)));
+    assert_eq!(standing(&c, "wk-2"), (Priority::Low, None));
     // What its tasks use is counted under the new priority.
     exchange(&mut c, &report(1, 1, 7, &[]), T0);
     exchange(&mut c, &report(1, 2, 7, &[]), T0 + 500);
     c.check();
     c.cancel(last, T0 + 600);
     c.follow(T0 + 600);
-    assert_eq!(standing(&c, "wk-3"), (Precedence::Low, None), "nobody needs it any more");
-    assert_eq!(standing(&c, "wk-1"), (Precedence::Low, None));
+    assert_eq!(standing(&c, "wk-3"), (Priority::Low, None), "nobody needs it any more");
+    assert_eq!(standing(&c, "wk-1"), (Priority::Low, None));
     c.check();
 }
 
@@ -389,7 +389,7 @@
     let mut s = (*c.settings).clone();
     s.tuning.rejection_cost = 0.6;
     c.settings = Arc::new(s);
-    add_job(&mut c, "wk-1", |b| (b.expected_s, b.due_s) = (50.0, None));
+    add_job(&mut c, "wk-1", |b| (b.estimate_s, b.deadline_s) = (50.0, None));
     commit(&mut c);
     let wait = c.expected_wait(&[Arc::from("wk-1")], T0);
     assert_eq!(wait, 50.0);
@@ -413,16 +413,16 @@
     for waits in [true, false] {
         let mut c = cell();
         c.fleet.provided = Some(0);
-        add_job(&mut c, "wk-1", |b| (b.parcels, b.cpus, b.expected_s) = (1, 4.0, 30.0));
+        add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.estimate_s) = (1, 4.0, 30.0));
         commit(&mut c);
         if waits {
             // More than fits on the machine that is there.
-            add_waiting(&mut c, "wk-2", &["wk-1"], |b| b.parcels = 12);
+            add_waiting(&mut c, "wk-2", &["wk-1"], |b| b.tasks = 12);
             commit(&mut c);
         }
         let from = |n: usize, tally| {
             let mut r = report(1, tally, 7, &[]);
-            r.hearth = format!("n-{n}");
+            r.machine = format!("n-{n}");
             r
         };
         exchange(&mut c, &from(1, 1), T0);
@@ -450,7 +450,7 @@
     let mut store = BTreeMap::new();
     let mut r = record("wk-2");
     r.waits = Some(Waits { on: ids(&["wk-1"]), berths: Some(ids(&["big"])), parts: 0 });
-    r.job.berths = Some(vec![]);
+    r.job.machine_types = Some(vec![]);
     store.insert("j/wk-2".to_string(), Record::Job(Box::new(r)));
     let mut c = successor(&store);
     let id = c.jobs.id("wk-2").expect("known");
@@ -468,5 +468,5 @@
         Change::Put { v: Record::Job(r), .. } => Some(r),
         _ => None,
     });
-    assert_eq!(r.expect("recorded").job.berths, Some(ids(&["big"])));
+    assert_eq!(r.expect("recorded").job.machine_types, Some(ids(&["big"])));
 }
--- a/crates/core/src/placement/limit_tests.rs
+++ b/crates/core/src/placement/limit_tests.rs
@@ -6,7 +6,7 @@
 use crate::state::machine::{Entry, Seen};
 use crate::state::names::*;
 use crate::state::teams::Usage;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use copperhaven_wire::workers::Report;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
             let lower = v.team == spec.team
                 && v.precedence > spec.precedence
                 && (guaranteed || !c.jobs[id].guaranteed);
-            if lower && v.shape != Shape::Gang && e.stop.is_none() {
+            if lower && v.shape != JobKind::Gang && e.stop.is_none() {
                 all.push((c.lost_s(v, e, now), v.cpus));
             }
         }
@@ -41,13 +41,13 @@
 
 /// Jobs of two teams, in all priorities, some of which save; a gang.
 const JOBS: [Edit; 7] = [
-    |b| b.precedence = Precedence::Low,
-    |b| (b.precedence, b.stamp_every_s, b.stamp_s) = (Precedence::Low, 10.0, 3.0),
-    |b| b.precedence = Precedence::Normal,
-    |b| (b.precedence, b.lot) = (Precedence::Normal, "rush".into()),
-    |b| b.precedence = Precedence::High,
-    |b| (b.precedence, b.owner) = (Precedence::Low, "blue".into()),
-    |b| (b.precedence, b.shape, b.parcels) = (Precedence::Low, Shape::Gang, 2),
+    |b| b.priority = Priority::Low,
+    |b| (b.priority, b.checkpoint_interval_s, b.checkpoint_save_s) = (Priority::Low, 10.0, 3.0),
+    |b| b.priority = Priority::Normal,
+    |b| (b.priority, b.class) = (Priority::Normal, "rush".into()),
+    |b| b.priority = Priority::High,
+    |b| (b.priority, b.team) = (Priority::Low, "blue".into()),
+    |b| (b.priority, b.kind, b.tasks) = (Priority::Low, JobKind::Gang, 2),
 ];
 
 /// A cell whose machines run tasks of all these jobs since various times.
@@ -66,7 +66,7 @@
         .collect();
     let mut mids = vec![];
     for n in 0..12 {
-        let r = Report { hearth: format!("n-{n}"), ..report(1, 1, TERM, &[]) };
+        let r = Report { machine: format!("n-{n}"), ..report(1, 1, TERM, &[]) };
         c.on_report(&r, T0);
         mids.push(c.machines.id(format!("n-{n}").as_str()).expect("there"));
     }
@@ -90,24 +90,24 @@
     // Found by the world of several controllers with teams at their limit: a job within its team's guarantee goes before
     // one of higher priority beyond it, which had it stopped, in each pass, 606 times; neither was done in 90 s.
     let array: Edit = |b| {
-        (b.owner, b.precedence) = ("blue".into(), Precedence::High);
-        (b.cpus, b.parcels) = (14.0, 2);
+        (b.team, b.priority) = ("blue".into(), Priority::High);
+        (b.cpus, b.tasks) = (14.0, 2);
     };
     let gang: Edit = |b| {
-        (b.owner, b.precedence) = ("blue".into(), Precedence::High);
-        (b.shape, b.cpus, b.parcels) = (Shape::Gang, 14.0, 2);
+        (b.team, b.priority) = ("blue".into(), Priority::High);
+        (b.kind, b.cpus, b.tasks) = (JobKind::Gang, 14.0, 2);
     };
     for (what, edit) in [("a gang", gang), ("an array", array)] {
         let mut c = cell();
         let mut now = T0;
         for n in 0..3 {
             let berth = "big".to_string();
-            let r = Report { hearth: format!("n-{n}"), berth, ..report(1, 1, TERM, &[]) };
+            let r = Report { machine: format!("n-{n}"), machine_type: berth, ..report(1, 1, TERM, &[]) };
             c.on_report(&r, now);
         }
         // Of 32 CPUs the first wants the 8 of the guarantee; the other 28.
         let low = add_job(&mut c, "wk-1", |b| {
-            (b.owner, b.precedence, b.parcels) = ("blue".into(), Precedence::Low, 8);
+            (b.team, b.priority, b.tasks) = ("blue".into(), Priority::Low, 8);
         });
         let high = add_job(&mut c, "wk-2", edit);
         for _ in 0..100 {
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -5,7 +5,7 @@
 use crate::state::names::*;
 use crate::state::served;
 use crate::state::teams::{Stoppable, StoppableGroup, Usage};
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 
 impl Cell {
     /// How many more tasks of this shape the team's limit allows.
@@ -25,7 +25,7 @@
     /// gets free.
     pub(crate) fn hold_limit(&mut self, id: JobId, spec: &Spec) {
         let n = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
-        let n = if spec.shape == Shape::Array { n.min(1.0) } else { n };
+        let n = if spec.shape == JobKind::Array { n.min(1.0) } else { n };
         self.teams.hold(spec, n);
     }
 
@@ -65,7 +65,7 @@
         for (mid, m) in &self.machines {
             for ((id, task), e) in &m.entries {
                 let Some(job) = self.jobs.get(id) else { continue };
-                if job.spec.team == team && job.spec.shape != Shape::Gang && e.stop.is_none() {
+                if job.spec.team == team && job.spec.shape != JobKind::Gang && e.stop.is_none() {
                     let lost_s = self.lost_s(&job.spec, e, now);
                     let at = (*mid, *id, *task, e.attempt);
                     StoppableGroup::add(
@@ -97,7 +97,7 @@
             return Some(vec![]);
         }
         self.gather_stoppable(spec.team, now);
-        let own = self.needs.class(served::pair(spec));
+        let own = self.needs.class_deficit(served::pair(spec));
         let Cell { stoppable, needs, machines, .. } = self;
         let groups = stoppable[spec.team.ix()].iter_mut().flatten();
         // Nobody makes room who is as much in need as the one that wants it, or is served before it: what that one runs
@@ -105,7 +105,7 @@
         let lower = |g: &&mut StoppableGroup| {
             g.precedence > spec.precedence
                 && (guaranteed || !g.guaranteed)
-                && !needs.class(g.pair).is_spared(own)
+                && !needs.class_deficit(g.pair).is_protected_from(own)
         };
         let mut groups: Vec<&mut StoppableGroup> = groups.filter(lower).collect();
         let all = |f: fn(&Usage) -> f64| groups.iter().map(|g| f(&g.uses)).sum::<f64>();
@@ -141,7 +141,7 @@
     pub(crate) fn make_team_room(&mut self, id: JobId, spec: &Spec, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let team = &self.settings.deployment.teams[spec.team.ix()];
-        let n = if spec.shape == Shape::Array { 1.0 } else { f64::from(job.waiting.len()) };
+        let n = if spec.shape == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
         let (used, held) = (self.teams.usage(spec.team), self.teams.held(spec.team));
         let stopping = self.teams.stopping(spec.team);
         let lack = Usage {
--- a/crates/core/src/placement/need_tests.rs
+++ b/crates/core/src/placement/need_tests.rs
@@ -6,8 +6,8 @@
 use crate::state::names::*;
 use crate::state::served;
 use crate::takeover::{Records, rebuild};
-use copperhaven_fairness::carried::Carried;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_fairness::carried::FairnessSnapshot;
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use copperhaven_wire::workers::Report;
 
 /// Jobs of class `steady` should be done within 90 s: they count as neglected after 67.5.
@@ -16,7 +16,7 @@
 /// Machines `n-1`… of four CPUs.
 fn machines(c: &mut Cell, count: u32, now: u64) {
     for n in 1..=count {
-        let r = Report { hearth: format!("n-{n}"), ..report(1, now, TERM, &[]) };
+        let r = Report { machine: format!("n-{n}"), ..report(1, now, TERM, &[]) };
         c.on_report(&r, now);
     }
 }
@@ -32,7 +32,7 @@
     for (name, parcels) in on {
         let list: Vec<(&str, u64, &str)> =
             parcels.iter().map(|(p, a)| (p.as_str(), *a, "running")).collect();
-        c.on_report(&Report { hearth: name, ..report(1, now, TERM, &list) }, now);
+        c.on_report(&Report { machine: name, ..report(1, now, TERM, &list) }, now);
     }
 }
 
@@ -52,11 +52,11 @@
 fn a_class_that_is_served_too_little_goes_first_within_its_team_and_a_team_with_its_share() {
     // Beyond its guarantee of 16 CPUs, the team's jobs go by precedence: `rush` before `steady`.
     type Edit = fn(&mut JobBody);
-    let rush: Edit = |b| (b.lot, b.precedence, b.parcels) = ("rush".into(), Precedence::High, 20);
-    let steady: Edit = |b| (b.parcels, b.due_s) = (20, None);
-    let small: Edit = |b| (b.parcels, b.due_s) = (18, None);
-    let blue: Edit = |b| (b.owner, b.parcels, b.due_s) = ("blue".into(), 30, None);
-    let guest: Edit = |b| (b.owner, b.parcels, b.due_s) = ("guest".into(), 5, None);
+    let rush: Edit = |b| (b.class, b.priority, b.tasks) = ("rush".into(), Priority::High, 20);
+    let steady: Edit = |b| (b.tasks, b.deadline_s) = (20, None);
+    let small: Edit = |b| (b.tasks, b.deadline_s) = (18, None);
+    let blue: Edit = |b| (b.team, b.tasks, b.deadline_s) = ("blue".into(), 30, None);
+    let guest: Edit = |b| (b.team, b.tasks, b.deadline_s) = ("guest".into(), 5, None);
     let mut c = cell();
     for (uid, edit) in
         [("wk-1", steady), ("wk-2", rush), ("wk-3", small), ("wk-4", blue), ("wk-5", guest)]
@@ -69,7 +69,7 @@
     // Late, but `rush` (aim 600 s) is not: the team's class goes first in the places that it has, least
     // work first. One late job of blue's alone is no famine, nor are guests ever first.
     c.pass_service(T0 + LATE);
-    assert!(c.service.is_short());
+    assert!(c.service.has_underserved());
     let ranked = order(&c, T0 + LATE);
     assert_eq!(ranked, ["3", "1", "2", "4", "5"]);
     // What blue has done doesn't help what red has not.
@@ -97,22 +97,22 @@
     for need in [false, true] {
         let mut c = cell();
         machines(&mut c, 8, T0);
-        let small = add_job(&mut c, "wk-1", |b| (b.parcels, b.due_s) = (60, None));
+        let small = add_job(&mut c, "wk-1", |b| (b.tasks, b.deadline_s) = (60, None));
         commit(&mut c);
         c.place(T0);
         commit(&mut c);
         assert_eq!(running(&c, small), 32);
         all_run(&mut c, T0 + 1);
         let large = add_job(&mut c, "wk-2", |b| {
-            (b.lot, b.parcels, b.cpus, b.due_s) = ("large".into(), 4, 4.0, None);
+            (b.class, b.tasks, b.cpus, b.deadline_s) = ("large".into(), 4, 4.0, None);
         });
         // Either it waits since long ago, and its class is late, or it has just come.
         if need {
             let old = T0 as i64 - 500_000;
             for n in 3..9 {
-                let id = add_job(&mut c, &format!("wk-{n}"), |b| b.lot = "large".into());
+                let id = add_job(&mut c, &format!("wk-{n}"), |b| b.class = "large".into());
                 let pair = served::pair(&c.jobs[&large].spec);
-                c.service.opened(served::key(id), pair, old, 600_000);
+                c.service.job_opened(served::key(id), pair, old, 600_000);
                 c.jobs.get_mut(&id).expect("there").retry_at = u64::MAX;
             }
         }
@@ -155,20 +155,20 @@
         let mut c = cell();
         machines(&mut c, 2, T0);
         let low = add_job(&mut c, "wk-1", |b| {
-            (b.parcels, b.owner, b.expected_s, b.due_s) = (8, "blue".into(), 300.0, None);
+            (b.tasks, b.team, b.estimate_s, b.deadline_s) = (8, "blue".into(), 300.0, None);
         });
         commit(&mut c);
         c.place(T0);
         commit(&mut c);
         all_run(&mut c, T0 + 1);
-        c.service.stopped(served::pair(&c.jobs[&low].spec), lost);
+        c.service.task_preempted(served::pair(&c.jobs[&low].spec), lost);
         // Somebody else is in need; on other days nothing is bounded.
         let other = (copperhaven_fairness::Team(2), copperhaven_fairness::Class(9));
         for n in (0..9).filter(|_| overload) {
-            c.service.opened(copperhaven_fairness::Job(900 + n), other, 0, 1000);
+            c.service.job_opened(copperhaven_fairness::Job(900 + n), other, 0, 1000);
         }
         add_job(&mut c, "wk-2", |b| {
-            (b.shape, b.parcels, b.cpus, b.precedence) = (Shape::Gang, 1, 4.0, Precedence::High);
+            (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 1, 4.0, Priority::High);
         });
         commit(&mut c);
         c.place(T0 + 2000);
@@ -178,19 +178,19 @@
             if stopped { 4 } else { 0 },
             "{overload} {lost}"
         );
-        let counted = c.service.pair(served::pair(&c.jobs[&low].spec)).expect("counted");
-        assert_eq!(counted.stopped, if stopped { 5 } else { 1 });
+        let counted = c.service.team_class(served::pair(&c.jobs[&low].spec)).expect("counted");
+        assert_eq!(counted.preempted, if stopped { 5 } else { 1 });
     }
 }
 
 #[test]
 fn deficits_outlive_a_leader() {
     let mut c = cell();
-    let id = add_job(&mut c, "wk-1", |b| b.due_s = None);
+    let id = add_job(&mut c, "wk-1", |b| b.deadline_s = None);
     let pair = served::pair(&c.jobs[&id].spec);
     c.pass_service(T0);
-    (0..40).for_each(|_| c.service.refused(pair, copperhaven_fairness::ledger::Refusal::Memory));
-    c.service.stopped(pair, 9_000.0);
+    (0..40).for_each(|_| c.service.submission_refused(pair, copperhaven_fairness::ledger::Refusal::Memory));
+    c.service.task_preempted(pair, 9_000.0);
     c.record_service();
     let mut read = Records::default();
     for change in commit(&mut c) {
@@ -203,22 +203,22 @@
     }
     assert_eq!(read.service.len(), 1);
     // What nobody would write is left out.
-    let odd = Carried {
-        t: "nobody".into(),
-        c: "steady".into(),
-        n: [u64::MAX; 7],
-        s: [f64::NAN; 2],
-        l: [f64::INFINITY; 3],
+    let odd = FairnessSnapshot {
+        team: "nobody".into(),
+        class: "steady".into(),
+        counts: [u64::MAX; 7],
+        cpu_totals_s: [f64::NAN; 2],
+        recent: [f64::INFINITY; 3],
     };
-    let known = Carried { t: "blue".into(), ..odd.clone() };
+    let known = FairnessSnapshot { team: "blue".into(), ..odd.clone() };
     read.service.push((format!("{SERVICE}1"), ServiceRecord { rows: vec![odd, known] }, 7));
     let mut heir = cell();
     rebuild(&mut heir, read, T0, T0);
-    let row = heir.service.pair(pair).expect("carried");
-    assert_eq!((row.refused, row.stopped, row.open), ([0, 40], 1, 1));
-    assert!(!heir.service.may_lose(pair.1, 0.05), "what was lost is not forgotten");
+    let row = heir.service.team_class(pair).expect("carried");
+    assert_eq!((row.refused, row.preempted, row.open), ([0, 40], 1, 1));
+    assert!(!heir.service.can_lose_work(pair.1, 0.05), "what was lost is not forgotten");
     heir.pass_service(T0 + LATE);
-    assert_eq!(heir.service.pair(pair).map(|r| r.late), Some(1));
+    assert_eq!(heir.service.team_class(pair).map(|r| r.late), Some(1));
     heir.check();
 }
 
@@ -229,7 +229,7 @@
     for n in 0..600 {
         let class = class(&mut c, n);
         let pair = (copperhaven_fairness::Team(0), copperhaven_fairness::Class(class.0));
-        c.service.useful(pair, n as f64 * 1000.0);
+        c.service.task_completed(pair, n as f64 * 1000.0);
     }
     let most = 2000;
     let parts = served::parts(&c.service, &c.names, most);
@@ -237,7 +237,7 @@
     for rows in &parts {
         assert!(Record::Service(ServiceRecord { rows: rows.clone() }).bytes() <= most);
     }
-    assert!(parts[0][0].c.ends_with("599"), "{}", parts[0][0].c);
+    assert!(parts[0][0].class.ends_with("599"), "{}", parts[0][0].class);
 }
 
 #[test]
@@ -254,7 +254,7 @@
         taken += 1;
         let uid = ["wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-7", "wk-8", "wk-9", "wk-10"]
             [taken % 10];
-        add_job(&mut c, uid, |b| (b.owner, b.parcels) = ("guest".into(), 100_000));
+        add_job(&mut c, uid, |b| (b.team, b.tasks) = ("guest".into(), 100_000));
     }
     assert!((1..=9).contains(&taken), "{taken}");
     assert!(!c.has_room(guest, 100_000) && c.has_room(red, 1_000) && c.has_room(red, 10_000));
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -4,9 +4,9 @@
 use crate::state::job::{EPS, Job};
 use crate::state::names::*;
 use crate::state::served;
-use copperhaven_fairness::need::{Claim, Need, Needs, Place, order};
+use copperhaven_fairness::need::{TeamDemand, DeficitLevel, Deficits, QueueEntry, order_by_deficit};
 use copperhaven_fairness::{Class, Team};
-use copperhaven_wire::jobs::{Precedence, Shape};
+use copperhaven_wire::jobs::{Priority, JobKind};
 use std::collections::BTreeMap;
 
 /// A job in the order in which it is served.
@@ -19,7 +19,7 @@
     /// Its team is served too little and has less than its share; how urgently its class is in
     /// need within the team.
     pub team_need: bool,
-    pub class_need: Need,
+    pub class_need: DeficitLevel,
 }
 
 impl Ranked {
@@ -27,13 +27,13 @@
     /// that is in need while this one is not, and a class that is as much in need.
     pub(crate) fn spares(&self, v: &Ranked) -> bool {
         let team = v.team != self.team && v.team_need && !self.team_need;
-        team || v.class_need.is_spared(self.class_need)
+        team || v.class_need.is_protected_from(self.class_need)
     }
 }
 
 /// What jobs are served by while nobody is in need: beyond the guarantee, guest, precedence, turn, work,
 /// arrival, job.
-type Rank = (bool, bool, Precedence, u8, u64, u64, JobId);
+type Rank = (bool, bool, Priority, u8, u64, u64, JobId);
 
 /// A job that has waited for so many of its spans goes before its equals; the second while its class is
 /// served too little.
@@ -64,13 +64,13 @@
     /// those of teams without one last, then by precedence. Among equals, those that can still be in time and have the least work
     /// left go first; a job that has waited for three times its span goes before all of them. Where
     /// a team or a class is served too little, that order is changed (`copperhaven_fairness::need`).
-    pub fn ranked(&self, needs: &Needs, now: u64) -> Vec<Ranked> {
+    pub fn ranked(&self, needs: &Deficits, now: u64) -> Vec<Ranked> {
         let mut used = vec![(0.0, 0.0); self.teams.len()];
         let mut open = self.queue.iter().filter_map(|(_, id)| self.jobs.get(id));
         // What is used is only added up where it matters.
         let any = open.any(|job| self.must_begin(job, now));
         let large = if any { self.used_by_large() } else { BTreeMap::new() };
-        let mut places: Vec<Place<Rank, bool>> = Vec::new();
+        let mut places: Vec<QueueEntry<Rank, bool>> = Vec::new();
         for (at, id) in &self.queue {
             let Some(job) = self.jobs.get(id) else { continue };
             let team = &self.settings.deployment.teams[job.spec.team.ix()];
@@ -80,38 +80,38 @@
             let within = sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS;
             let pair = served::pair(&job.spec);
             let first = self.must_begin(job, now) && large.get(&pair).is_none_or(Use::has_room);
-            let (turn, work) = if first { (0, 0) } else { self.turn(job, needs.class(pair), now) };
+            let (turn, work) = if first { (0, 0) } else { self.turn(job, needs.class_deficit(pair), now) };
             let rank = (!within, team.is_guest(), job.spec.precedence, turn, work, *at, *id);
             let cpus = job.spec.cpus * f64::from(job.waiting.len());
-            places.push(Place { pair, rank, cpus, what: within });
+            places.push(QueueEntry { team_class: pair, rank, cpus, item: within });
         }
-        order(&mut places, needs);
-        let ranked = |p: Place<Rank, bool>| Ranked {
+        order_by_deficit(&mut places, needs);
+        let ranked = |p: QueueEntry<Rank, bool>| Ranked {
             id: p.rank.6,
-            guaranteed: p.what,
-            team: TeamId(p.pair.0.0),
-            team_need: needs.team(p.pair.0),
-            class_need: needs.class(p.pair),
+            guaranteed: p.item,
+            team: TeamId(p.team_class.0.0),
+            team_need: needs.is_team_underserved(p.team_class.0),
+            class_need: needs.class_deficit(p.team_class),
         };
         places.into_iter().map(ranked).collect()
     }
 
     /// Who is served too little. Guests take what is left, however little that was.
-    pub(crate) fn who_needs(&self) -> Needs {
-        if !self.service.is_short() {
-            return Needs::default();
+    pub(crate) fn who_needs(&self) -> Deficits {
+        if !self.service.has_underserved() {
+            return Deficits::default();
         }
-        let mut claims: BTreeMap<Team, Claim> = BTreeMap::new();
+        let mut claims: BTreeMap<Team, TeamDemand> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
             let team = &self.settings.deployment.teams[job.spec.team.ix()];
             let claim = claims.entry(Team(job.spec.team.0)).or_default();
             claim.weight = if team.is_guest() { 0.0 } else { team.cpus.max(1.0) };
-            claim.uses = self.teams.usage(job.spec.team).cpus;
-            claim.waits += job.spec.cpus * f64::from(job.waiting.len());
-            claim.waits = claim.waits.min((team.cpus_max - claim.uses).max(0.0));
+            claim.used_cpus = self.teams.usage(job.spec.team).cpus;
+            claim.waiting_cpus += job.spec.cpus * f64::from(job.waiting.len());
+            claim.waiting_cpus = claim.waiting_cpus.min((team.cpus_max - claim.used_cpus).max(0.0));
         }
         let cpus = self.machines.values().filter(|m| !m.leaving && !m.faulty).map(|m| m.cpus).sum();
-        self.service.needs(&claims, cpus)
+        self.service.compute_deficits(&claims, cpus)
     }
 
     /// Is it one of its class's largest, and has waited long without anything of it having begun?
@@ -144,7 +144,7 @@
 
     /// 0: has waited far too long, and goes by arrival; 1: may be in time; 2: is late already. Those
     /// go by the work left.
-    fn turn(&self, job: &Job, need: Need, now: u64) -> (u8, u64) {
+    fn turn(&self, job: &Job, need: DeficitLevel, now: u64) -> (u8, u64) {
         let spec = &job.spec;
         let run = self.rates.run_s(usize::MAX, spec.class, spec.estimate_s);
         let span = 1.0 / self.theta(spec);
@@ -153,11 +153,11 @@
         let age = (now as i64 - from) as f64 / 1000.0;
         // Where a class is served too little nearly all its jobs have waited for long: by arrival the
         // large ones would keep many small ones from being served at all.
-        let far = if need.is_some() { FAR_SHORT } else { FAR };
+        let far = if need.is_underserved() { FAR_SHORT } else { FAR };
         if age > far * span {
             return (0, 0);
         }
-        let late = spec.shape == Shape::Array && age + run > span;
+        let late = spec.shape == JobKind::Array && age + run > span;
         (if late { 2 } else { 1 }, self.work_ms(job))
     }
 }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -6,7 +6,7 @@
 use crate::state::cell::PASS_MS;
 use crate::state::job::{Spec, Wait};
 use crate::state::ledger::Key;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 use std::sync::Arc;
 
 const MOST_PASS_MS: u64 = 1000;
@@ -61,7 +61,7 @@
 
     pub(crate) fn none_to_stop(&self, r: Ranked, spec: &Spec, need: u32) -> bool {
         self.no_victims.iter().any(|(other, a, least)| {
-            let gang = |s: &Spec| s.shape == Shape::Gang;
+            let gang = |s: &Spec| s.shape == JobKind::Gang;
             Self::covers(a, spec)
                 && a.precedence <= spec.precedence
                 // An array takes what it gets; a gang found too little for all of it.
@@ -135,7 +135,7 @@
                 }
                 continue;
             }
-            if job.is_failing() && job.spec.shape != Shape::Gang && !job.onto.is_empty() {
+            if job.is_failing() && job.spec.shape != JobKind::Gang && !job.onto.is_empty() {
                 continue;
             }
             let spec = job.spec.clone();
@@ -146,10 +146,10 @@
                 // Before its turn nobody keeps a machine for it but earlier passes.
                 && !held.contains_key(&r.id);
             let skip = plain && full.has_no_place(&spec);
-            let gang = spec.shape == Shape::Gang;
+            let gang = spec.shape == JobKind::Gang;
             let wait = match spec.shape {
                 _ if skip && self.team_room(&spec) == 0 => Wait::TeamLimit,
-                Shape::Gang => {
+                JobKind::Gang => {
                     let short = skip || (plain && full.lacks_room(&spec, need));
                     self.place_gang(r.id, &spec, &mut slots, now, short)
                 }
@@ -208,14 +208,14 @@
                     if let Some(job) = self.jobs.get_mut(&r.id) {
                         job.look_at = now + if found { AGAIN_MS } else { LOOK_MS };
                     }
-                    let patient = spec.shape == Shape::Array && !self.array_may_preempt(*r, now);
+                    let patient = spec.shape == JobKind::Array && !self.array_may_preempt(*r, now);
                     if !found && plain && !patient {
                         full.no_victims.push((*r, spec.clone(), need));
                     }
                     found
                 };
                 if found {
-                    if spec.shape != Shape::Array {
+                    if spec.shape != JobKind::Array {
                         self.hold_limit(r.id, &spec);
                     }
                     if let Some(job) = self.jobs.get_mut(&r.id) {
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -8,8 +8,8 @@
 use crate::state::names::*;
 use crate::state::served;
 use copperhaven_fairness::Class;
-use copperhaven_fairness::loss::{FOR_EQUALS, FOR_HIGHER};
-use copperhaven_wire::jobs::Shape;
+use copperhaven_fairness::loss::{MAX_LOST_SHARE_EQUAL_PRIORITY, MAX_LOST_SHARE_HIGHER_PRIORITY};
+use copperhaven_wire::jobs::JobKind;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 
@@ -68,7 +68,7 @@
             && v.team != spec.team
             && !other.is_none_or(|v| v.guaranteed)
             && v.precedence >= spec.precedence;
-        let part = if lower { FOR_HIGHER } else { FOR_EQUALS };
+        let part = if lower { MAX_LOST_SHARE_HIGHER_PRIORITY } else { MAX_LOST_SHARE_EQUAL_PRIORITY };
         (lower || beyond)
             && (!self.patient || guest(v))
             && !other.is_some_and(|v| r.spares(v))
@@ -76,13 +76,13 @@
             // days without overload.
             && (!self.short
                 || guest(v)
-                || self.cell.service.may_lose(Class(v.class.0), part))
+                || self.cell.service.can_lose_work(Class(v.class.0), part))
     }
 
     /// While somebody is served too little, whoever's turn it is waits for what runs out soon: small
     /// tasks would take every place that gets free, and it none.
     fn waits(&self) -> bool {
-        self.short && (self.spec.shape == Shape::Gang || self.r.class_need.is_some())
+        self.short && (self.spec.shape == JobKind::Gang || self.r.class_need.is_underserved())
     }
 
     /// Could a task of it fit on this machine if all went that it could ask for at most?
@@ -97,7 +97,7 @@
             };
             last = Some((*id, stance));
             let Some(s) = stance else { return false };
-            if e.stop.is_some() || s.may || (waits && s.spec.shape == Shape::Array) {
+            if e.stop.is_some() || s.may || (waits && s.spec.shape == JobKind::Array) {
                 free.take_back(s.spec);
             }
         }
@@ -118,10 +118,10 @@
         now: u64,
     ) -> bool {
         // Until then an array within its guarantee stops guests only.
-        let patient = spec.shape == Shape::Array && !self.array_may_preempt(r, now);
+        let patient = spec.shape == JobKind::Array && !self.array_may_preempt(r, now);
         // One in need has machines kept for it until smaller tasks there have run out: they would
         // take each place that gets free before it is large enough. Not all machines at once.
-        let needy = spec.shape == Shape::Array && r.class_need.is_some();
+        let needy = spec.shape == JobKind::Array && r.class_need.is_underserved();
         let kept = || slots.iter().filter(|s| s.reserved.is_some()).count();
         let most = if needy { slots.len().div_ceil(KEPT).saturating_sub(kept()) } else { 0 };
         let collects = needy && most > 0;
@@ -130,12 +130,12 @@
         }
         let Some(job) = self.jobs.get(&r.id) else { return false };
         let mut need = job.waiting.len();
-        if spec.shape != Shape::Gang {
+        if spec.shape != JobKind::Gang {
             need = need.min(self.team_room(spec)).min(32);
         }
         let held: &[MachineId] = held.get(&r.id).map_or(&[], Vec::as_slice);
         // What the machines already held for it will give once they are free.
-        let short = self.needs.any();
+        let short = self.needs.has_any();
         for mid in held {
             let m = &self.machines[mid];
             let mut free = Slot::on(*mid, m);
@@ -175,7 +175,7 @@
             plans.truncate(most);
         }
         let total: u32 = plans.iter().map(|p| p.2).sum();
-        if spec.shape == Shape::Gang && total < need {
+        if spec.shape == JobKind::Gang && total < need {
             return !held.is_empty();
         }
         let mut any = !held.is_empty();
@@ -188,7 +188,7 @@
             let mid = slots[i].mid;
             // A gang needs all its places at once, so they are kept for it. An array's tasks come
             // one by one: served first anyway, it needs no machine to itself.
-            let keep = spec.shape != Shape::Array || collects;
+            let keep = spec.shape != JobKind::Array || collects;
             if keep {
                 slots[i].reserved = Some(r.id);
             }
@@ -199,7 +199,7 @@
                 let stopped = victims.iter().filter(|(.., runs_out)| !runs_out).count();
                 let (name, count) = (m.name.clone(), stopped);
                 if count > 0 {
-                    let why = if spec.shape == Shape::Array { "guarantee" } else { "priority" };
+                    let why = if spec.shape == JobKind::Array { "guarantee" } else { "priority" };
                     tracing::info!("preempt {count} tasks on {name} for {} ({why})", spec.uid);
                 }
             }
@@ -208,7 +208,7 @@
                 let Some(v) = self.jobs.get_mut(&vid) else { continue };
                 v.preempted += 1;
                 let grace = if v.spec.checkpoint_s > 0.0 { v.spec.save_s + 1.0 } else { 0.0 };
-                if v.spec.shape == Shape::Gang {
+                if v.spec.shape == JobKind::Gang {
                     self.stop_all(vid, now, grace);
                 } else {
                     self.stop_task(mid, vid, task, now, grace);
@@ -249,7 +249,7 @@
 
     /// Will this task have left its machine by itself before a reservation ends?
     fn runs_out(&self, spec: &Spec, e: &Entry, now: u64) -> bool {
-        spec.shape == Shape::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVE_MS as f64
+        spec.shape == JobKind::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVE_MS as f64
     }
 
     /// Counts a task that is about to be stopped for others.
@@ -258,9 +258,9 @@
         let Some(m) = self.machines.get(&mid) else { return };
         let Some(e) = m.entries.get(&(id, task)) else { return };
         let spec = &job.spec;
-        let tasks = if spec.shape == Shape::Gang { f64::from(spec.tasks) } else { 1.0 };
+        let tasks = if spec.shape == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
         let lost = self.lost_s(spec, e, now) * spec.cpus * tasks;
-        self.service.stopped(served::pair(spec), lost);
+        self.service.task_preempted(served::pair(spec), lost);
     }
 
     /// Does any team without a guarantee have work on machines?
@@ -302,7 +302,7 @@
             if e.stop.is_some() {
                 free.take_back(v);
             } else if may {
-                let gang = if v.shape == Shape::Gang { f64::from(v.tasks) } else { 1.0 };
+                let gang = if v.shape == JobKind::Gang { f64::from(v.tasks) } else { 1.0 };
                 let lost = self.lost_s(v, e, now);
                 list.push(((lost + 1.0) * v.cpus * gang, (*id, *task, false)));
             } else if asker.waits() && self.runs_out(v, e, now) {
--- a/crates/core/src/placement/singles.rs
+++ b/crates/core/src/placement/singles.rs
@@ -4,7 +4,7 @@
 use crate::state::cell::Cell;
 use crate::state::job::{Spec, Wait};
 use crate::state::names::*;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 
 impl Cell {
     /// All its tasks have their places: what was kept for it is free for others.
@@ -29,7 +29,7 @@
             return Wait::TeamLimit;
         }
         let mut order = self.candidates(id, spec, slots);
-        if spec.shape == Shape::Service {
+        if spec.shape == JobKind::Service {
             // Replicas go where the job has fewest.
             let job = &self.jobs[&id];
             order.sort_by_key(|i| job.in_zone[slots[*i].zone.ix()]);
@@ -47,7 +47,7 @@
                     return Wait::TeamLimit;
                 }
                 let failing = self.jobs.get(&id).is_some_and(|j| j.is_failing());
-                let most = if failing || spec.shape == Shape::Service { 1 } else { u32::MAX };
+                let most = if failing || spec.shape == JobKind::Service { 1 } else { u32::MAX };
                 let n = slots[i]
                     .fits(spec)
                     .min(left)
@@ -68,7 +68,7 @@
                 if failing {
                     return Wait::Backoff;
                 }
-                if spec.shape == Shape::Service {
+                if spec.shape == JobKind::Service {
                     break;
                 }
             }
@@ -81,7 +81,7 @@
             return Wait::TeamLimit;
         }
         if placed {
-            self.stir = spec.shape == Shape::Service;
+            self.stir = spec.shape == JobKind::Service;
         }
         Wait::NoRoom
     }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -126,13 +126,13 @@
     /// takeover, until they were heard or the bound for that has run out. Nothing is placed there; nothing is
     /// rented or stopped for what may find its place there either.
     pub(crate) fn expected(&self, now: u64) -> impl Iterator<Item = Slot> {
-        let waited = self.recovery.unheard() > 0;
+        let waited = self.recovery.unreported_count() > 0;
         let silence = self.silence();
         self.machines
             .iter()
             .filter(move |(mid, m)| {
                 waited
-                    && self.recovery.expects(Machine(mid.0), now)
+                    && self.recovery.is_report_expected(Machine(mid.0), now)
                     && !m.usable(now, silence)
                     && !(m.faulty || m.leaving || m.recall_at.is_some())
                     && m.foreign.is_empty()
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -5,9 +5,9 @@
 use crate::state::cell::{Cell, PASS_MS};
 use crate::state::job::Spec;
 use crate::state::names::*;
-use copperhaven_fairness::need::Need;
+use copperhaven_fairness::need::DeficitLevel;
 use copperhaven_wire::jobs::JobBody;
-use copperhaven_wire::jobs::{Precedence, Shape};
+use copperhaven_wire::jobs::{Priority, JobKind};
 use copperhaven_wire::workers::Report;
 use std::sync::Arc;
 
@@ -50,33 +50,33 @@
     // through all that ran at every report, and leaders lost their leases one after another.
     // Whoever could find something must still look.
     type Edit = fn(&mut JobBody);
-    let failed = spec(|b| (b.cpus, b.precedence) = (4.0, Precedence::Normal));
+    let failed = spec(|b| (b.cpus, b.priority) = (4.0, Priority::Normal));
     let full = Full { room: vec![(failed.clone(), 0)], no_victims: vec![] };
     let cases: [(Edit, bool); 6] = [
         (|b| b.cpus = 4.0, true),
         (|b| b.cpus = 5.0, true),
         (|b| b.cpus = 3.0, false),
         (|b| (b.cpus, b.mem_gb) = (5.0, 0.5), false),
-        (|b| (b.cpus, b.yard) = (5.0, Some("south".into())), true),
-        (|b| (b.cpus, b.loaners) = (5.0, true), true),
+        (|b| (b.cpus, b.zone) = (5.0, Some("south".into())), true),
+        (|b| (b.cpus, b.spot) = (5.0, true), true),
     ];
     for (i, (edit, skip)) in cases.into_iter().enumerate() {
         assert_eq!(full.has_no_place(&spec(edit)), skip, "place {i}");
     }
     // What may use spot machines looks for itself after one that may not.
-    let strict = spec(|b| (b.cpus, b.loaners) = (4.0, false));
+    let strict = spec(|b| (b.cpus, b.spot) = (4.0, false));
     let full = Full { room: vec![(strict, 0)], no_victims: vec![] };
-    assert!(!full.has_no_place(&spec(|b| (b.cpus, b.loaners) = (5.0, true))));
+    assert!(!full.has_no_place(&spec(|b| (b.cpus, b.spot) = (5.0, true))));
 
     let ranked = |guaranteed| Ranked {
         id: JobId(1),
         guaranteed,
         team: TeamId(0),
         team_need: false,
-        class_need: Need::NONE,
+        class_need: DeficitLevel::NONE,
     };
     let gang = |b: &mut JobBody| {
-        (b.shape, b.parcels, b.cpus, b.precedence) = (Shape::Gang, 3, 4.0, Precedence::Normal);
+        (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 3, 4.0, Priority::Normal);
     };
     let full = Full { room: vec![], no_victims: vec![(ranked(false), spec(gang), 3)] };
     let cases: [(Edit, u32, bool, bool); 6] = [
@@ -87,14 +87,14 @@
         (gang, 3, true, false),
         (
             |b| {
-                (b.shape, b.parcels, b.cpus, b.precedence) =
-                    (Shape::Gang, 3, 4.0, Precedence::High);
+                (b.kind, b.tasks, b.cpus, b.priority) =
+                    (JobKind::Gang, 3, 4.0, Priority::High);
             },
             3,
             false,
             false,
         ),
-        (|b| (b.cpus, b.precedence) = (4.0, Precedence::Normal), 3, false, false),
+        (|b| (b.cpus, b.priority) = (4.0, Priority::Normal), 3, false, false),
     ];
     for (i, (edit, need, guaranteed, skip)) in cases.into_iter().enumerate() {
         let s = spec(edit);
@@ -108,17 +108,17 @@
     let mut c = cell();
     for n in 0..40 {
         add_job(&mut c, &format!("wk-{n}"), |b| {
-            (b.parcels, b.cpus, b.due_s) = (2, 1.0, None);
-            b.owner = "guest".into();
+            (b.tasks, b.cpus, b.deadline_s) = (2, 1.0, None);
+            b.team = "guest".into();
         });
     }
     let large = add_job(&mut c, "wk-99", |b| {
-        (b.parcels, b.cpus, b.due_s) = (30, 1.0, None);
-        b.owner = "guest".into();
+        (b.tasks, b.cpus, b.deadline_s) = (30, 1.0, None);
+        b.team = "guest".into();
     });
     let twin = add_job(&mut c, "wk-98", |b| {
-        (b.parcels, b.cpus, b.due_s) = (30, 1.0, None);
-        b.owner = "guest".into();
+        (b.tasks, b.cpus, b.deadline_s) = (30, 1.0, None);
+        b.team = "guest".into();
     });
     commit(&mut c);
     let first = |c: &Cell, now| c.ranked(&c.who_needs(), now)[0].id;
@@ -127,7 +127,7 @@
     let late = T0 + 125_000;
     assert_eq!(first(&c, late), large);
     // It has begun: while the largest have a third of what the class uses, the others go on first.
-    let r = |tally| Report { berth: "big".into(), ..report(1, tally, TERM, &[]) };
+    let r = |tally| Report { machine_type: "big".into(), ..report(1, tally, TERM, &[]) };
     exchange(&mut c, &r(1), late);
     assert!(c.jobs[&large].onto.len() > 10);
     assert!(first(&c, late + 100) != twin, "one at a time, a third of what is used at most");
--- a/crates/core/src/questions.rs
+++ b/crates/core/src/questions.rs
@@ -6,7 +6,7 @@
 use crate::state::ledger::Key;
 use crate::state::machine::Seen;
 use crate::state::names::*;
-use copperhaven_wire::jobs::{HeldBy, Shown};
+use copperhaven_wire::jobs::{BlockingJob, JobStatus};
 
 /// So many of the jobs that one waits for are told to whoever asks.
 const TOLD: usize = 20;
@@ -14,7 +14,7 @@
 const STEPS: usize = 1000;
 
 impl Cell {
-    pub fn show(&self, uid: &str) -> Option<Shown> {
+    pub fn show(&self, uid: &str) -> Option<JobStatus> {
         if let Some((id, job)) = self.job(uid) {
             if !self.accepted(id, job) {
                 return None;
@@ -47,11 +47,11 @@
             let why = (status == "queued" || !job.waiting.is_empty())
                 .then(|| self.why_waiting(id, job).text().to_string())
                 .filter(|w| !w.is_empty() && job.open());
-            let mut shown = Shown {
+            let mut shown = JobStatus {
                 done: u64::from(job.done.len()),
                 running: u64::from(job.running),
-                why,
-                ..Shown::new(uid, status)
+                reason: why,
+                ..JobStatus::new(uid, status)
             };
             if job.open() && !job.awaits.is_empty() {
                 self.show_waiting(job, &mut shown);
@@ -88,9 +88,9 @@
     }
 
     /// Tells for which jobs a waiting one waits, and which step holds it back.
-    pub fn show_waiting(&self, job: &Job, shown: &mut Shown) {
-        shown.awaits = job.awaits.iter().take(TOLD).map(ToString::to_string).collect();
-        shown.awaits_count = job.awaits.len() as u64;
+    pub fn show_waiting(&self, job: &Job, shown: &mut JobStatus) {
+        shown.pending_dependencies = job.awaits.iter().take(TOLD).map(ToString::to_string).collect();
+        shown.pending_dependency_count = job.awaits.len() as u64;
         let mut at = job;
         for _ in 0..STEPS {
             let open = at.awaits.iter().take(TOLD).filter_map(|uid| self.job(uid));
@@ -98,11 +98,11 @@
             at = next;
             if at.awaits.is_empty() {
                 let why = self.why_waiting(id, at).text();
-                shown.held_by = Some(HeldBy {
+                shown.blocked_by = Some(BlockingJob {
                     uid: at.spec.uid.to_string(),
-                    lot: at.body.lot.clone(),
+                    class: at.body.class.clone(),
                     status: if at.running > 0 { "running" } else { "queued" }.into(),
-                    why: (!why.is_empty()).then(|| why.to_string()),
+                    reason: (!why.is_empty()).then(|| why.to_string()),
                 });
                 return;
             }
@@ -110,7 +110,7 @@
     }
 }
 
-pub fn shown_final(uid: &str, f: &FinalRecord) -> Shown {
+pub fn shown_final(uid: &str, f: &FinalRecord) -> JobStatus {
     let status = if f.done { "done" } else { "aborted" };
-    Shown { done: u64::from(f.tasks), ..Shown::new(uid, status) }
+    JobStatus { done: u64::from(f.tasks), ..JobStatus::new(uid, status) }
 }
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -201,7 +201,7 @@
         }
         let Some(job) = self.jobs.remove(&id) else { return };
         self.queue.remove(&(job.turn_at, id));
-        self.service.forget(served::key(id));
+        self.service.remove_job(served::key(id));
         self.links.reconsider(&job);
         self.links.forget(&job.spec.uid);
         self.ledger.forget(&Key::Job(id));
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,8 +1,8 @@
 //! The records kept at the state service: keys, values, changes and conditions.
 
-use copperhaven_fairness::carried::Carried;
-use copperhaven_rollout::{CanRecord, StagesRecord};
-use copperhaven_wire::cloud::WireFlavor;
+use copperhaven_fairness::carried::FairnessSnapshot;
+use copperhaven_rollout::{AbilitiesRecord, StagesRecord};
+use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::encode;
 use copperhaven_wire::jobs::JobBody;
 use serde::{Deserialize, Serialize};
@@ -145,7 +145,7 @@
 /// `c/flavors`: the machine types, as the cloud last told them to a leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FlavorsRecord {
-    pub berths: Vec<WireFlavor>,
+    pub berths: Vec<WireMachineType>,
 }
 
 /// `c/provided`: how many machines were there before the service rented any.
@@ -157,7 +157,7 @@
 /// `c/service/N`: what was served to teams and classes, for a successor (`copperhaven_fairness`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    pub rows: Vec<Carried>,
+    pub rows: Vec<FairnessSnapshot>,
 }
 
 #[derive(Debug, Clone, Serialize)]
@@ -167,7 +167,7 @@
     Term(TermRecord),
     StagedTerm(StagedTerm),
     Stages(StagesRecord),
-    Can(CanRecord),
+    Can(AbilitiesRecord),
     Job(Box<JobRecord>),
     Links(LinksRecord),
     Done(DoneRecord),
@@ -210,7 +210,7 @@
 impl Record {
     /// The highest term given out, as it is written under these stages.
     pub fn term(term: u64, stages: &StagesRecord) -> Record {
-        if stages.fences() {
+        if stages.requires_fence() {
             Record::StagedTerm(StagedTerm { staged: term })
         } else {
             Record::Term(TermRecord { term })
--- a/crates/core/src/safety_tests.rs
+++ b/crates/core/src/safety_tests.rs
@@ -9,13 +9,13 @@
 use crate::state::names::*;
 use crate::takeover::{Records, rebuild};
 use crate::workers::reports::Taken;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 use copperhaven_wire::workers::{Order, Report};
 use std::sync::Arc;
 
 fn runs(orders: &[Order]) -> Vec<(String, u64)> {
     let run = |o: &Order| match o {
-        Order::Run { parcel, attempt } => Some((parcel.clone(), *attempt)),
+        Order::Run { task_id: parcel, attempt } => Some((parcel.clone(), *attempt)),
         _ => None,
     };
     orders.iter().filter_map(run).collect()
@@ -24,7 +24,7 @@
 /// One task, accepted, placed on n-1 and told to run in the response to report 2.
 fn started() -> (Cell, JobId, MachineId, u64) {
     let mut c = cell();
-    let id = add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     // The first report shows an older term: nothing is started on its word.
     assert!(runs(&exchange(&mut c, &report(1, 1, 0, &[]), T0)).is_empty());
@@ -41,7 +41,7 @@
 #[test]
 fn nothing_is_sent_before_it_is_recorded() {
     let mut c = cell();
-    let id = add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     c.on_report(&report(1, 1, TERM, &[]), T0);
     c.place(T0);
     assert!(c.jobs[&id].waiting.contains(0), "an unrecorded job is not placed");
@@ -160,7 +160,7 @@
 fn a_cancel_that_races_a_start() {
     // Cancelled between recording the list and sending the run: it is not sent any more.
     let mut c = cell();
-    let id = add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     c.on_report(&report(1, 1, TERM, &[]), T0);
     c.place(T0);
@@ -210,11 +210,11 @@
 #[test]
 fn the_team_limit_counts_what_may_be_there() {
     let mut c = cell();
-    add_job(&mut c, "wk-1", |b| (b.owner, b.parcels, b.cpus) = ("blue".into(), 20, 4.0));
+    add_job(&mut c, "wk-1", |b| (b.team, b.tasks, b.cpus) = ("blue".into(), 20, 4.0));
     commit(&mut c);
     for n in 0..12 {
         let mut r = report(1, 1, TERM, &[]);
-        r.hearth = format!("n-{n}");
+        r.machine = format!("n-{n}");
         c.on_report(&r, T0);
     }
     c.place(T0);
@@ -230,12 +230,12 @@
 fn gangs_are_placed_whole_and_replaced_with_their_attempt() {
     let mut c = cell();
     let id = add_job(&mut c, "wk-1", |b| {
-        (b.shape, b.parcels, b.cpus, b.together) = (Shape::Gang, 3, 4.0, true);
+        (b.kind, b.tasks, b.cpus, b.one_zone) = (JobKind::Gang, 3, 4.0, true);
     });
     commit(&mut c);
     let at = |n: usize, zone: &str, tally| {
         let mut r = report(1, tally, TERM, &[]);
-        (r.hearth, r.yard) = (format!("n-{n}"), zone.into());
+        (r.machine, r.zone) = (format!("n-{n}"), zone.into());
         r
     };
     for (n, zone) in [(1, "north"), (2, "north"), (3, "south")] {
@@ -257,7 +257,7 @@
 }
 
 fn by(machine: u32, tally: u64, parcels: &[(&str, u64, &str)]) -> Report {
-    Report { hearth: format!("n-{machine}"), ..report(1, tally, TERM, parcels) }
+    Report { machine: format!("n-{machine}"), ..report(1, tally, TERM, parcels) }
 }
 
 /// What `job` has on this machine fails there.
@@ -278,9 +278,9 @@
     // its tasks at once, 720 failures in a minute.
     let mut c = cell();
     let jobs = [
-        add_job(&mut c, "wk-1", |b| (b.parcels, b.cpus) = (4, 1.0)),
-        add_job(&mut c, "wk-2", |b| (b.parcels, b.cpus) = (3, 1.0)),
-        add_job(&mut c, "wk-3", |b| (b.parcels, b.cpus) = (2, 1.0)),
+        add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus) = (4, 1.0)),
+        add_job(&mut c, "wk-2", |b| (b.tasks, b.cpus) = (3, 1.0)),
+        add_job(&mut c, "wk-3", |b| (b.tasks, b.cpus) = (2, 1.0)),
     ];
     commit(&mut c);
     let mut now = T0;
@@ -341,7 +341,7 @@
         c.ledger.value_limit = limit;
         for n in 0..300 {
             let mut body = body(&format!("wk-{n:020}"));
-            (body.owner, body.parcels, body.cpus, body.mem_gb) = ("guest".into(), 1, 0.1, 0.1);
+            (body.team, body.tasks, body.cpus, body.mem_gb) = ("guest".into(), 1, 0.1, 0.1);
             let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
             let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
             let id = c.insert_job(spec, body, T0, T0 as i64);
@@ -349,7 +349,7 @@
             c.jobs.get_mut(&id).expect("there").accept_ver = ver;
         }
         commit(&mut c);
-        let r = Report { berth: "big".into(), ..report(1, 1, TERM, &[]) };
+        let r = Report { machine_type: "big".into(), ..report(1, 1, TERM, &[]) };
         assert!(matches!(c.on_report(&r, T0), Taken::Answer(_)));
         for pass in 0..5 {
             c.place(T0 + pass * 1000);
@@ -369,7 +369,7 @@
     // (seen running elsewhere for so long, or done there; faulty)
     for (ran, done, faulty) in [(3_000, false, false), (9_000, false, true), (1_500, true, true)] {
         let mut c = cell();
-        let id = add_job(&mut c, "wk-1", |b| (b.parcels, b.cpus) = (2, 1.0));
+        let id = add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus) = (2, 1.0));
         commit(&mut c);
         exchange(&mut c, &by(1, 1, &[]), T0);
         fail(&mut c, 1, 2, id, T0 + 600);
@@ -410,7 +410,7 @@
     assert!(!c.machines.contains_key(&mid) && c.jobs[&id].waiting.contains(0));
     // The next leader doesn't know that the machine is gone, but no record lists the task.
     let mut c = cell();
-    let id = add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     let late = report(1, 3, TERM - 1, &[("wk-1/0", a, "running")]);
     assert!(matches!(exchange(&mut c, &late, T0)[..], [Order::Halt { .. }]));
@@ -425,7 +425,7 @@
         [(12_000, 12.0, false), (20_000, 12.0, false), (40_000, 12.0, true), (40_000, 30.0, false)]
     {
         let mut c = cell();
-        let id = add_job(&mut c, "wk-1", |b| b.parcels = 4);
+        let id = add_job(&mut c, "wk-1", |b| b.tasks = 4);
         commit(&mut c);
         exchange(&mut c, &report(1, 1, TERM, &[]), T0);
         let mid = c.machines.id("n-1").expect("known");
@@ -452,17 +452,17 @@
     // started again with every pass, 962 times.
     for machines in [8, 10] {
         let mut c = cell();
-        add_job(&mut c, "wk-1", |b| (b.owner, b.parcels, b.cpus) = ("blue".into(), 8, 4.0));
+        add_job(&mut c, "wk-1", |b| (b.team, b.tasks, b.cpus) = ("blue".into(), 8, 4.0));
         commit(&mut c);
         for n in 0..machines {
             let mut r = report(1, 1, TERM, &[]);
-            r.hearth = format!("n-{n}");
+            r.machine = format!("n-{n}");
             exchange(&mut c, &r, T0);
         }
         let id = add_job(&mut c, "wk-2", |b| {
-            (b.owner, b.shape, b.parcels) = ("blue".into(), Shape::Gang, 2);
-            (b.cpus, b.precedence) = (4.0, copperhaven_wire::jobs::Precedence::High);
-            b.loaners = false;
+            (b.team, b.kind, b.tasks) = ("blue".into(), JobKind::Gang, 2);
+            (b.cpus, b.priority) = (4.0, copperhaven_wire::jobs::Priority::High);
+            b.spot = false;
         });
         commit(&mut c);
         let stopped = |c: &Cell| {
@@ -516,13 +516,13 @@
         rebuild(&mut c, Records { jobs, machines, ..Records::default() }, takeover, takeover);
         // A healthy machine of another name reports: nothing may be started on it.
         let mut r = report(1, 1, TERM, &[]);
-        r.hearth = "n-2".into();
+        r.machine = "n-2".into();
         assert!(runs(&exchange(&mut c, &r, takeover + 1000)).is_empty());
         assert!(c.show("wk-1").is_some(), "accepted stays accepted");
         // The recorded machine shows the term and the tasks: they run on.
         let on = [("wk-1/0", 5, "running"), ("wk-1/1", 5, "running"), ("wk-1/2", 5, "running")];
         let mut r = report(1, 9, TERM, &on);
-        r.berth = "big".into();
+        r.machine_type = "big".into();
         assert!(exchange(&mut c, &r, takeover + 2000).is_empty());
         assert_eq!(c.show("wk-1").expect("known").running, 3);
     }
@@ -535,12 +535,12 @@
     for (mate, ends) in [("pulling", false), ("waiting", true)] {
         let mut c = cell();
         let id = add_job(&mut c, "wk-1", |b| {
-            (b.shape, b.parcels, b.cpus) = (Shape::Gang, 2, 4.0);
+            (b.kind, b.tasks, b.cpus) = (JobKind::Gang, 2, 4.0);
         });
         commit(&mut c);
         let from = |n: usize, tally, parcels: &[(&str, u64, &str)]| {
             let mut r = report(1, tally, TERM, parcels);
-            r.hearth = format!("n-{n}");
+            r.machine = format!("n-{n}");
             r
         };
         exchange(&mut c, &from(1, 1, &[]), T0);
@@ -561,8 +561,8 @@
         assert!(c.direct.is_empty() && c.jobs[&id].attempt == a);
         let (parcel, attempt) = (first.to_string(), a);
         let again = [
-            Order::Forget { parcel: parcel.clone(), attempt },
-            Order::Run { parcel: parcel.clone(), attempt },
+            Order::Forget { task_id: parcel.clone(), attempt },
+            Order::Run { task_id: parcel.clone(), attempt },
         ];
         assert_eq!(orders, again);
         // The response was lost: the same report once more gets the same orders.
@@ -589,7 +589,7 @@
         c.plan_rentals(T0);
         assert_eq!(!c.fleet.rentals.is_empty(), stands, "{provided:?}");
         // Work that waits gets its machines, but nothing is rented before the count is known.
-        add_job(&mut c, "wk-1", |b| b.parcels = 1);
+        add_job(&mut c, "wk-1", |b| b.tasks = 1);
         commit(&mut c);
         c.plan_rentals(T0);
         assert_eq!(!c.fleet.rentals.is_empty(), provided.is_some(), "{provided:?}");
@@ -601,11 +601,11 @@
     let (c, ..) = started();
     let host = |uid: &str, status: &str| copperhaven_wire::cloud::Host {
         uid: uid.into(),
-        berth: "small".into(),
-        yard: "north".into(),
-        loaners: false,
+        machine_type: "small".into(),
+        zone: "north".into(),
+        spot: false,
         status: status.into(),
-        held_s: 0.0,
+        rented_s: 0.0,
     };
     let listed = [host("n-1", "running"), host("n-2", "booting"), host("n-3", "failed")];
     assert_eq!(c.provided(&listed), 2);
@@ -621,7 +621,7 @@
     let (north, south) = (ZoneId(0), ZoneId(1));
     let at = |n: usize, zone: &str, tally| {
         let mut r = report(1, tally, TERM, &[]);
-        (r.hearth, r.yard) = (format!("n-{n}"), zone.into());
+        (r.machine, r.zone) = (format!("n-{n}"), zone.into());
         r
     };
     for (n, zone) in [(1, "north"), (2, "south"), (3, "south")] {
@@ -632,7 +632,7 @@
         zones.dedup();
         zones
     };
-    add_job(&mut c, "wk-1", |b| (b.yard, b.parcels) = (Some("south".into()), 30));
+    add_job(&mut c, "wk-1", |b| (b.zone, b.tasks) = (Some("south".into()), 30));
     commit(&mut c);
     c.watch_zones(&[north], T0 + 1000);
     assert_eq!(zones(&c), [south], "all is heard");
@@ -711,7 +711,7 @@
     let (mut c, id, mid, a) = started();
     let at = |n: usize| {
         let mut r = report(1, 1, TERM, &[]);
-        r.hearth = format!("n-{n:03}");
+        r.machine = format!("n-{n:03}");
         r
     };
     let mids: Vec<MachineId> = (100..140)
@@ -750,7 +750,7 @@
     // Found in drawn scenes: an attempt was on its machines' lists and not sent yet when the results of the one before were
     // heard. The job was over, so it was never sent, nor ever proven absent, and used its team's limit.
     let mut c = cell();
-    let id = add_job(&mut c, "wk-1", |b| (b.shape, b.parcels) = (Shape::Gang, 2));
+    let id = add_job(&mut c, "wk-1", |b| (b.kind, b.tasks) = (JobKind::Gang, 2));
     c.applied_for_test(id);
     let first = report(1, 1, TERM, &[]);
     c.on_report(&first, T0);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML, unknown fields ignored) and the operators' own (YAML,
 //! optional, unknown keys refused). Everything the scheduler decides derives from these.
 
-use copperhaven_rollout::{ABILITIES, Wish};
+use copperhaven_rollout::{ABILITIES, AbilityOverrides};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -386,12 +386,12 @@
     }
 
     /// What operators want of abilities.
-    pub fn wish(&self) -> Wish {
+    pub fn wish(&self) -> AbilityOverrides {
         let t = &self.tuning;
-        Wish {
-            on: t.abilities_on.clone(),
-            off: t.abilities_off.clone(),
-            left_out: t.members_left_out.clone(),
+        AbilityOverrides {
+            enabled: t.abilities_on.clone(),
+            disabled: t.abilities_off.clone(),
+            excluded_members: t.members_left_out.clone(),
         }
     }
 
--- a/crates/core/src/state/book.rs
+++ b/crates/core/src/state/book.rs
@@ -12,7 +12,7 @@
 use crate::state::packs::{FRAME_BYTES, PackId, Packs};
 use crate::state::served;
 use crate::state::table::Table;
-use copperhaven_fairness::ledger::Service;
+use copperhaven_fairness::ledger::FairnessLedger;
 use copperhaven_wire::jobs::JobBody;
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     pub fleet: &'a Fleet,
     pub names: &'a Names,
     pub aside: &'a Aside,
-    pub service: &'a Service,
+    pub service: &'a FairnessLedger,
     pub packs: &'a Packs,
 }
 
@@ -47,7 +47,7 @@
         if !job.awaits.is_empty() && !job.cancelled() {
             let listed = self.links.inline(job);
             let on = listed.map(ToString::to_string).collect();
-            waits = Some(Waits { on, berths: body.berths.replace(vec![]), parts: job.parts });
+            waits = Some(Waits { on, berths: body.machine_types.replace(vec![]), parts: job.parts });
         }
         let since = (job.turn_at != job.at).then_some(job.turn_at);
         let mut record =
@@ -55,7 +55,7 @@
         if record.cancelled && Record::Job(Box::new(record.clone())).bytes() > most {
             // Accepted under a higher limit. That it is cancelled has to be recorded; of its names
             // only the team's counts from here on.
-            (record.job.lot, record.job.cargo) = ("?".into(), "?".into());
+            (record.job.class, record.job.image) = ("?".into(), "?".into());
         }
         record
     }
@@ -202,7 +202,7 @@
 impl Cell {
     /// How long the record of a waiting job is without the jobs that it waits for.
     pub fn empty_record_bytes(&self, job: &JobBody) -> usize {
-        let waits = Some(Waits { on: vec![], berths: job.berths.clone(), parts: u32::MAX });
+        let waits = Some(Waits { on: vec![], berths: job.machine_types.clone(), parts: u32::MAX });
         let (at, since) = (u64::MAX, Some(u64::MAX));
         let record = JobRecord { job: job.clone(), at, cancelled: false, waits, since };
         Record::Job(Box::new(record)).bytes()
--- a/crates/core/src/state/cell.rs
+++ b/crates/core/src/state/cell.rs
@@ -17,11 +17,11 @@
 use crate::state::sizes::Sizes;
 use crate::state::table::Table;
 use crate::state::teams::{StoppableGroup, Teams, Usage};
-use copperhaven_fairness::ledger::Service;
-use copperhaven_fairness::need::Needs;
+use copperhaven_fairness::ledger::FairnessLedger;
+use copperhaven_fairness::need::Deficits;
 use copperhaven_recovery::phase::Recovery;
-use copperhaven_recovery::square::Counts;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_recovery::square::OutcomeCounts;
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -55,17 +55,17 @@
     pub rates: Rates,
     pub fleet: Fleet,
     /// What was served to whom.
-    pub service: Service,
+    pub service: FairnessLedger,
     /// How large the jobs of each class are.
     pub sizes: Sizes,
     /// Who was served too little, as of the last placement pass.
-    pub needs: Needs,
+    pub needs: Deficits,
     pub direct: Vec<Direct>,
     /// In one placement pass: what could be stopped for the limits of teams, by team, once somebody asked.
     pub(crate) stoppable: Vec<Option<Vec<StoppableGroup>>>,
     /// How far this leader's takeover is, and what it met when reports were held against records.
     pub recovery: Recovery,
-    pub squared: Counts,
+    pub squared: OutcomeCounts,
     next_id: usize,
     next_try: u64,
     /// Workers are asked to report when starts wait for it.
@@ -99,14 +99,14 @@
         let report_ms = (settings.deployment.workers.report_s * 1000.0) as u64;
         Cell {
             recovery: Recovery::begin(now, report_ms),
-            squared: Counts::default(),
+            squared: OutcomeCounts::default(),
             teams: Teams::new(settings.deployment.teams.len()),
             ledger: Ledger::new(leader, settings.deployment.state.value_bytes()),
             rates: Rates::new(pools, settings.tuning.rate_window),
             fleet: Fleet::new(term),
-            service: Service::default(),
+            service: FairnessLedger::default(),
             sizes: Sizes::default(),
-            needs: Needs::default(),
+            needs: Deficits::default(),
             links: Links::default(),
             aside: Aside::default(),
             packs: Packs::default(),
@@ -240,7 +240,7 @@
     }
 
     /// Changes a job's priority; what its tasks use is counted under the new one.
-    pub fn set_precedence(&mut self, id: JobId, precedence: Precedence) {
+    pub fn set_precedence(&mut self, id: JobId, precedence: Priority) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.spec.precedence == precedence {
             return;
@@ -296,7 +296,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.final_ver = Some(ver);
             if done {
-                self.service.done(served::key(id));
+                self.service.job_done(served::key(id));
             }
             job.routed.iter_mut().for_each(|r| *r = 0);
         }
@@ -409,7 +409,7 @@
 
     /// What is placed in a pass after somebody asked what could be stopped can be stopped as well, and loses nothing.
     fn stoppable_too(&mut self, mid: MachineId, id: JobId, task: u32, attempt: u64) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.spec.shape != Shape::Gang) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|j| j.spec.shape != JobKind::Gang) else { return };
         if let Some(Some(groups)) = self.stoppable.get_mut(job.spec.team.ix()) {
             let at = (mid, id, task, attempt);
             let group = (served::pair(&job.spec), job.guaranteed);
@@ -522,7 +522,7 @@
         }
         for (pair, (n, late)) in self.service.recount() {
             assert_eq!(open.remove(&pair), Some(n), "open jobs of {pair:?}");
-            let row = self.service.pair(pair).expect("counted");
+            let row = self.service.team_class(pair).expect("counted");
             assert_eq!((row.open, row.late), (n, late), "the ledger of service, {pair:?}");
         }
         assert!(open.is_empty(), "jobs that the ledger of service lacks: {open:?}");
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::records::RentalRecord;
 use crate::state::names::*;
-use copperhaven_wire::cloud::WireFlavor;
+use copperhaven_wire::cloud::WireMachineType;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 #[derive(Debug, Clone)]
@@ -21,18 +21,18 @@
 }
 
 impl Flavor {
-    pub fn from_wire(w: &WireFlavor, names: &mut Names) -> Flavor {
+    pub fn from_wire(w: &WireMachineType, names: &mut Names) -> Flavor {
         Flavor {
             label: w.label.clone(),
             cpus: w.cpus.max(0.0),
-            cards: w.cards.max(0.0),
+            cards: w.gpus.max(0.0),
             mem_gb: w.mem_gb.max(0.0),
             cache_gb: w.cache_gb,
-            fetch_gb_per_s: w.fetch_gb_per_s.max(0.001),
-            hourly: w.hourly,
-            spot_hourly: w.spot_price,
-            boot_s: w.startup_s.clamp(0.0, 3600.0),
-            zones: w.yards.iter().map(|z| names.zones.intern(z)).collect(),
+            fetch_gb_per_s: w.image_pull_gb_per_s.max(0.001),
+            hourly: w.hourly_price,
+            spot_hourly: w.spot_hourly_price,
+            boot_s: w.boot_s.clamp(0.0, 3600.0),
+            zones: w.zones.iter().map(|z| names.zones.intern(z)).collect(),
         }
     }
 
--- a/crates/core/src/state/hearing.rs
+++ b/crates/core/src/state/hearing.rs
@@ -42,12 +42,12 @@
     /// Its report was answered with these orders, of which it shows signs if it hears.
     pub(crate) fn answered(&mut self, session: u64, orders: &[Order], of_term: bool) {
         let run = orders.iter().find_map(|o| match o {
-            Order::Run { parcel, attempt } => Some(Sign::Lists(parcel.clone(), *attempt)),
+            Order::Run { task_id: parcel, attempt } => Some(Sign::Lists(parcel.clone(), *attempt)),
             _ => None,
         });
         let forget = || {
             orders.iter().find_map(|o| match o {
-                Order::Forget { parcel, attempt } => Some(Sign::Lacks(parcel.clone(), *attempt)),
+                Order::Forget { task_id: parcel, attempt } => Some(Sign::Lacks(parcel.clone(), *attempt)),
                 _ => None,
             })
         };
@@ -60,14 +60,14 @@
     pub(crate) fn heard(&mut self, r: &Report, term: u64, now: u64) -> Option<bool> {
         let (session, sign) = self.asked.take()?;
         let lists = |parcel: &str, attempt: u64| {
-            r.parcels.iter().any(|p| p.parcel == parcel && p.attempt == attempt)
+            r.tasks.iter().any(|p| p.task_id == parcel && p.attempt == attempt)
         };
         let seen = match &sign {
             // Its lease has run out although it was answered: or it hung for as long.
-            _ if session != r.shift => false,
+            _ if session != r.session => false,
             Sign::Lists(parcel, attempt) => lists(parcel, *attempt),
             Sign::Lacks(parcel, attempt) => !lists(parcel, *attempt),
-            Sign::Term => r.warrant >= term,
+            Sign::Term => r.term >= term,
         };
         self.missed = if seen { 0 } else { self.missed.saturating_add(1) };
         match (seen, self.deaf) {
@@ -92,9 +92,9 @@
     #[test]
     fn the_signs_of_each_order() {
         let lists = |p: &[(&str, u64, &str)]| report(3, 9, TERM, p);
-        let run = |a| Order::Run { parcel: "wk-1/0".into(), attempt: a };
-        let forget = Order::Forget { parcel: "wk-1/0".into(), attempt: 4 };
-        let halt = Order::Halt { parcel: "wk-1/0".into(), attempt: 4, wind_down: 0.0 };
+        let run = |a| Order::Run { task_id: "wk-1/0".into(), attempt: a };
+        let forget = Order::Forget { task_id: "wk-1/0".into(), attempt: 4 };
+        let halt = Order::Halt { task_id: "wk-1/0".into(), attempt: 4, grace_s: 0.0 };
         // (orders, answered when of this term, next report, session of the answered one, missed)
         let rows = [
             (vec![run(4)], true, lists(&[("wk-1/0", 4, "ended:full")]), 3, 0),
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -3,7 +3,7 @@
 use crate::state::names::*;
 use crate::state::table::Row;
 use crate::state::tasks::TaskSet;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -32,8 +32,8 @@
     pub uid: Arc<str>,
     pub class: ClassId,
     pub team: TeamId,
-    pub shape: Shape,
-    pub precedence: Precedence,
+    pub shape: JobKind,
+    pub precedence: Priority,
     pub tasks: u32,
     pub cpus: f64,
     pub cards: f64,
--- a/crates/core/src/state/ledger.rs
+++ b/crates/core/src/state/ledger.rs
@@ -452,7 +452,7 @@
             let room = if self.long.contains(key) { ledger.value_limit } else { 1 };
             let lot = "x".repeat(room);
             let job = crate::for_tests::record("wk-1").job;
-            let job = copperhaven_wire::jobs::JobBody { lot, ..job };
+            let job = copperhaven_wire::jobs::JobBody { class: lot, ..job };
             let record = crate::records::JobRecord { job, ..crate::for_tests::record("wk-1") };
             let short = Record::Final(FinalRecord { done: true, tasks: 1 });
             let v = if room > 1 { Record::Job(Box::new(record)) } else { short };
--- a/crates/core/src/state/links.rs
+++ b/crates/core/src/state/links.rs
@@ -2,7 +2,7 @@
 
 use crate::state::job::Job;
 use crate::state::names::JobId;
-use copperhaven_wire::jobs::Precedence;
+use copperhaven_wire::jobs::Priority;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     /// Jobs that are waited for and not open: how they ended has to be read after a takeover.
     pub(crate) unread: BTreeSet<Arc<str>>,
     /// Jobs that get at least this priority and urgency.
-    pub(crate) raise: VecDeque<(Arc<str>, Precedence, Option<i64>)>,
+    pub(crate) raise: VecDeque<(Arc<str>, Priority, Option<i64>)>,
     /// Jobs whose priority and urgency has to be worked out anew: one that needed them is no more.
     pub(crate) review: BTreeSet<Arc<str>>,
     /// Cancelled with others, their ends still to be recorded. What is recorded already says so;
--- a/crates/core/src/state/served.rs
+++ b/crates/core/src/state/served.rs
@@ -5,10 +5,10 @@
 use crate::state::job::{Job, Spec, span_ms};
 use crate::state::ledger::Key;
 use crate::state::names::*;
-use copperhaven_fairness::carried::Carried;
-use copperhaven_fairness::ledger::{Row, Service};
-use copperhaven_fairness::room::Room;
-use copperhaven_fairness::{self as fairness, Class, Pair, Team};
+use copperhaven_fairness::carried::FairnessSnapshot;
+use copperhaven_fairness::ledger::{FairnessCounters, FairnessLedger};
+use copperhaven_fairness::room::TaskCapacity;
+use copperhaven_fairness::{self as fairness, Class, TeamClass, Team};
 
 /// A job that fails wherever it starts is nobody's neglect; it is looked at again after this long.
 const EXCUSED_MS: u64 = 30_000;
@@ -20,23 +20,23 @@
     fairness::Job(u64::from(id.0))
 }
 
-pub fn pair(spec: &Spec) -> Pair {
+pub fn pair(spec: &Spec) -> TeamClass {
     (Team(spec.team.0), Class(spec.class.0))
 }
 
 /// What of the ledger of service is recorded, in parts that fit into a value. What doesn't fit into all of
 /// them is lost: pairs of team and class that were served least of late.
-pub fn parts(service: &Service, names: &Names, most: usize) -> Vec<Vec<Carried>> {
-    let name = |(team, class): Pair| {
+pub fn parts(service: &FairnessLedger, names: &Names, most: usize) -> Vec<Vec<FairnessSnapshot>> {
+    let name = |(team, class): TeamClass| {
         (names.teams.name(team.0 as usize).into(), names.classes.name(class.0 as usize).into())
     };
-    let size = |row: &Carried| {
+    let size = |row: &FairnessSnapshot| {
         let one = Record::Service(ServiceRecord { rows: vec![row.clone()] });
         one.bytes() + 2
     };
-    let mut parts: Vec<Vec<Carried>> = vec![];
+    let mut parts: Vec<Vec<FairnessSnapshot>> = vec![];
     let mut left = 0;
-    for row in service.carry(name) {
+    for row in service.snapshot(name) {
         let bytes = size(&row);
         if bytes > left || parts.is_empty() {
             if parts.len() == SERVICE_PARTS as usize || bytes > most {
@@ -61,7 +61,7 @@
             own += if job.spec.team == team { of(job) } else { 0 };
         }
         let most = self.settings.most_tasks() as u64;
-        Room { most, teams: self.teams.len() as u64 }.takes(all, own, u64::from(tasks))
+        TaskCapacity { max_tasks: most, teams: self.teams.len() as u64 }.can_admit(all, own, u64::from(tasks))
     }
 
     /// Has the ledger of service recorded, for a successor.
@@ -79,23 +79,23 @@
             self.ledger.stamp(path, Some(stamp));
             for row in record.rows {
                 // A team that the settings don't know any more has no jobs.
-                let Some(team) = self.names.teams.get(&row.t) else { continue };
-                let class = self.names.classes.intern(&row.c);
-                self.service.resume((Team(team.0), Class(class.0)), &row, now);
+                let Some(team) = self.names.teams.get(&row.team) else { continue };
+                let class = self.names.classes.intern(&row.class);
+                self.service.restore((Team(team.0), Class(class.0)), &row, now);
             }
         }
     }
 
     /// What was served of late, in a line for the log: by class, and the team that was served least.
     pub fn service_line(&self, now: u64) -> String {
-        let tell = |name: &str, r: &Row| {
-            let (share, lost) = (r.share(now), 100.0 * r.lost(now));
+        let tell = |name: &str, r: &FairnessCounters| {
+            let (share, lost) = (r.served_share(now), 100.0 * r.lost_share(now));
             format!(
                 "{name} {share:.2} ({} done, {} open, {} of them late, {lost:.1}% lost)",
                 r.done, r.open, r.late
             )
         };
-        let busy = |r: &Row| r.taken > 0 || r.open > 0;
+        let busy = |r: &FairnessCounters| r.accepted > 0 || r.open > 0;
         let mut out: Vec<String> = vec![];
         for (class, row) in self.service.classes().filter(|(_, r)| busy(r)) {
             let own = |j: &&Job| j.spec.class.0 == class.0;
@@ -108,7 +108,7 @@
             out.push(format!("{text}: {on:.0} CPUs, {runs:.0} run, {waits:.0} wait"));
         }
         let teams = self.service.teams().filter(|(_, r)| busy(r));
-        let least = teams.min_by(|a, b| a.1.share(now).total_cmp(&b.1.share(now)));
+        let least = teams.min_by(|a, b| a.1.served_share(now).total_cmp(&b.1.served_share(now)));
         if let Some((team, row)) = least {
             let name = self.names.teams.name(team.0 as usize);
             out.push(format!("least of teams {}", tell(name, row)));
@@ -128,7 +128,7 @@
     pub(crate) fn open_service(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let aim = self.aim_ms(&job.spec);
-        self.service.opened(key(id), pair(&job.spec), job.since, aim);
+        self.service.job_opened(key(id), pair(&job.spec), job.since, aim);
     }
 
     /// Time passes: open jobs become late, but for those that fail wherever they start.
@@ -138,6 +138,6 @@
             let id = JobId(job.0 as u32);
             jobs.get(&id).is_some_and(|j| j.is_failing())
         };
-        service.pass(now, EXCUSED_MS, failing);
+        service.advance_time(now, EXCUSED_MS, failing);
     }
 }
--- a/crates/core/src/state/teams.rs
+++ b/crates/core/src/state/teams.rs
@@ -2,8 +2,8 @@
 
 use crate::state::job::Spec;
 use crate::state::names::{JobId, MachineId, TeamId};
-use copperhaven_fairness::Pair;
-use copperhaven_wire::jobs::{Precedence, Shape};
+use copperhaven_fairness::TeamClass;
+use copperhaven_wire::jobs::{Priority, JobKind};
 
 /// What a team's tasks may be using: every task that may be on a machine counts.
 #[derive(Debug, Clone, Copy, Default)]
@@ -33,7 +33,7 @@
 
 impl Split {
     fn of(&mut self, spec: &Spec) -> &mut Usage {
-        let side = if spec.shape == Shape::Gang { &mut self.gang } else { &mut self.single };
+        let side = if spec.shape == JobKind::Gang { &mut self.gang } else { &mut self.single };
         &mut side[spec.precedence as usize]
     }
 
@@ -58,8 +58,8 @@
 /// together.
 #[derive(Debug, Clone)]
 pub struct StoppableGroup {
-    pub pair: Pair,
-    pub precedence: Precedence,
+    pub pair: TeamClass,
+    pub precedence: Priority,
     pub guaranteed: bool,
     pub tasks: Vec<Stoppable>,
     pub uses: Usage,
@@ -69,7 +69,7 @@
     /// Adds a task of this shape to the group that it belongs to.
     pub fn add(
         groups: &mut Vec<StoppableGroup>,
-        (pair, guaranteed): (Pair, bool),
+        (pair, guaranteed): (TeamClass, bool),
         spec: &Spec,
         (mid, id, task, attempt): (MachineId, JobId, u32, u64),
         lost_s: f64,
@@ -172,7 +172,7 @@
     }
 
     /// What `tasks` of this shape use counts under another priority from here on.
-    pub fn set_precedence(&mut self, spec: &mut Spec, tasks: f64, precedence: Precedence) {
+    pub fn set_precedence(&mut self, spec: &mut Spec, tasks: f64, precedence: Priority) {
         let split = &mut self.split[spec.team.ix()];
         split.of(spec).sub(spec, tasks);
         spec.precedence = precedence;
@@ -200,7 +200,7 @@
     #[test]
     fn usage_comes_back_however_priority_changes_meanwhile() {
         // (shape, tasks added, priority changed to, tasks taken off)
-        for (shape, n) in [(Shape::Array, 3), (Shape::Gang, 2), (Shape::Service, 1)] {
+        for (shape, n) in [(JobKind::Array, 3), (JobKind::Gang, 2), (JobKind::Service, 1)] {
             let mut teams = Teams::new(2);
             let mut s = spec("wk-1", |_| ());
             s.shape = shape;
@@ -208,7 +208,7 @@
             assert_eq!(teams.usage(s.team).cpus, s.cpus * f64::from(n));
             assert_eq!(teams.split(s.team).at(s.precedence as usize).cpus, s.cpus * f64::from(n));
             let was = s.precedence;
-            teams.set_precedence(&mut s, f64::from(n), Precedence::High);
+            teams.set_precedence(&mut s, f64::from(n), Priority::High);
             assert_eq!(teams.split(s.team).at(was as usize).cpus, 0.0);
             (0..n).for_each(|_| teams.sub(&s));
             assert_eq!(teams.usage(s.team).cpus, 0.0);
--- a/crates/core/src/sweep.rs
+++ b/crates/core/src/sweep.rs
@@ -85,7 +85,7 @@
                 |c, id| {
                     let turn = (c.jobs[&id].turn_at, id);
                     c.queue.remove(&turn);
-                    c.service.forget(crate::state::served::key(id));
+                    c.service.remove_job(crate::state::served::key(id));
                 },
                 Swept { jobs: 1, tasks: 0 },
             ),
@@ -94,7 +94,7 @@
                 |c, id| {
                     let turn = (c.jobs[&id].turn_at, id);
                     c.queue.remove(&turn);
-                    c.service.forget(crate::state::served::key(id));
+                    c.service.remove_job(crate::state::served::key(id));
                     let job = c.jobs.get_mut(&id).expect("there");
                     job.done.insert(1);
                     job.waiting.clear();
@@ -104,8 +104,8 @@
         ];
         for (what, drop, expected) in rows {
             let mut c = cell();
-            let id = add_job(&mut c, "wk-1", |b| (b.parcels, b.cpus, b.due_s) = (3, 1.0, None));
-            let other = add_job(&mut c, "wk-2", |b| (b.parcels, b.cpus, b.due_s) = (1, 1.0, None));
+            let id = add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (3, 1.0, None));
+            let other = add_job(&mut c, "wk-2", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
             commit(&mut c);
             drop(&mut c, id);
             assert_eq!(c.sweep(), expected, "{what}");
--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -10,7 +10,7 @@
 use crate::state::packs::{MOST as PACKED, PackId};
 use crate::state::served;
 use copperhaven_recovery::{Machine, Zone};
-use copperhaven_wire::jobs::check;
+use copperhaven_wire::jobs::validate;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -73,7 +73,7 @@
     }
     cell.follow(now);
     let machines = cell.machines.iter().map(|(mid, m)| (Machine(mid.0), Zone(m.zone.0)));
-    cell.recovery.read(machines, now);
+    cell.recovery.records_loaded(machines, now);
     if cell.hurry {
         tell_free_ones_first(cell);
     }
@@ -152,7 +152,7 @@
         cell.ledger.stamp(path.clone(), Some(stamp));
         let waits = record.waits.take();
         if let Some(waits) = &waits {
-            record.job.berths.clone_from(&waits.berths);
+            record.job.machine_types.clone_from(&waits.berths);
         }
         let settings = cell.settings.clone();
         let flavors = std::mem::take(&mut cell.flavors);
@@ -163,7 +163,7 @@
             Err(format!("{part}, which lists what it waits for, is missing"))
         } else if uid != record.job.uid {
             Err(format!("it is of {}", record.job.uid))
-        } else if let Err(e) = check(&record.job) {
+        } else if let Err(e) = validate(&record.job) {
             Err(e.to_string())
         } else {
             admit_shape(&record.job, &mut cell.names, &flavors, &settings)
@@ -189,7 +189,7 @@
                 job.cancel_ver = Some(0);
                 job.waiting.clear();
                 cell.queue.remove(&(at, id));
-                cell.service.forget(served::key(id));
+                cell.service.remove_job(served::key(id));
             } else if let Some(since) = record.since {
                 // It has waited for others.
                 let since = since.min(wall_ms + FAR_MS as u64);
--- a/crates/core/src/takeover/tests.rs
+++ b/crates/core/src/takeover/tests.rs
@@ -5,14 +5,14 @@
 use crate::for_tests::TERM;
 use crate::for_tests::*;
 use crate::state::job::Wait;
-use copperhaven_wire::jobs::{JobBody, Shape};
+use copperhaven_wire::jobs::{JobBody, JobKind};
 use copperhaven_wire::workers::{Order, Report};
 
 const STAMP: u64 = 33;
 
 fn job(uid: &str, edit: fn(&mut JobBody)) -> (String, JobRecord, u64) {
     let mut record = record(uid);
-    record.job.parcels = 1;
+    record.job.tasks = 1;
     edit(&mut record.job);
     (format!("j/{uid}"), record, 2)
 }
@@ -38,16 +38,16 @@
 
 /// A machine that is there for everything, and reports under this term.
 fn other(tally: u64, parcels: &[(&str, u64, &str)]) -> Report {
-    Report { hearth: "n-2".into(), ..report(1, tally, TERM, parcels) }
+    Report { machine: "n-2".into(), ..report(1, tally, TERM, parcels) }
 }
 
 fn started(orders: &[Order]) -> Vec<&str> {
     let runs = orders.iter().filter(|o| matches!(o, Order::Run { .. }));
-    runs.map(|o| o.parcel()).collect()
+    runs.map(|o| o.task_id()).collect()
 }
 
 fn halted(orders: &[Order], parcel: &str) -> bool {
-    orders.iter().any(|o| matches!(o, Order::Halt { parcel: p, .. } if p == parcel))
+    orders.iter().any(|o| matches!(o, Order::Halt { task_id: p, .. } if p == parcel))
 }
 
 fn written(changes: &[Change], path: &str) -> bool {
@@ -61,9 +61,9 @@
     let cases: [(&str, Option<Edit>); 5] = [
         ("unreadable", None),
         ("of another", Some(|b| b.uid = "wk-7".into())),
-        ("no tasks", Some(|b| b.parcels = 0)),
+        ("no tasks", Some(|b| b.tasks = 0)),
         ("not a number", Some(|b| b.cpus = f64::NAN)),
-        ("unknown team", Some(|b| b.owner = "green".into())),
+        ("unknown team", Some(|b| b.team = "green".into())),
     ];
     for (case, edit) in cases {
         let mut jobs = vec![job("wk-2", |_| ())];
@@ -89,8 +89,8 @@
 
 #[test]
 fn tasks_of_a_job_set_aside_are_halted_and_count_against_every_team() {
-    let mut jobs = vec![job("wk-2", |b| (b.cpus, b.parcels) = (4.0, 16))];
-    jobs.push(job("wk-3", |b| (b.owner, b.cpus, b.parcels) = ("blue".into(), 4.0, 8)));
+    let mut jobs = vec![job("wk-2", |b| (b.cpus, b.tasks) = (4.0, 16))];
+    jobs.push(job("wk-3", |b| (b.team, b.cpus, b.tasks) = ("blue".into(), 4.0, 8)));
     let machines =
         vec![machine("n-1", "big", &[("wk-1", 5, 0), ("wk-2", 6, 0)]), machine("n-2", "big", &[])];
     let mut c = taken_over(Records { jobs, machines, bad: bad("j/wk-1"), ..Records::default() });
@@ -98,14 +98,14 @@
     assert_eq!(c.unknown_usage().cpus, 28.0);
     let listed = [("wk-1/0", 5, "running"), ("wk-2/0", 6, "running")];
     let n1 = |tally, parcels: &[(&str, u64, &str)]| Report {
-        berth: "big".into(),
+        machine_type: "big".into(),
         ..report(1, tally, TERM, parcels)
     };
     let orders = exchange(&mut c, &n1(1, &listed), T0 + 100);
     assert!(halted(&orders, "wk-1/0") && !halted(&orders, "wk-2/0"));
     assert!(started(&orders).is_empty(), "nothing is added to such a machine");
     // blue may use 32 CPUs, 28 of which may be used: one task of four.
-    let big = |r: Report| Report { berth: "big".into(), ..r };
+    let big = |r: Report| Report { machine_type: "big".into(), ..r };
     let orders = exchange(&mut c, &big(other(1, &[])), T0 + 200);
     let blue = started(&orders).iter().filter(|p| p.starts_with("wk-3/")).count();
     assert_eq!(blue, 1);
@@ -136,10 +136,10 @@
 
 #[test]
 fn a_machine_whose_record_can_t_be_read_may_hold_any_earlier_task() {
-    let jobs = || vec![job("wk-1", |b| b.parcels = 2), job("wk-2", |b| b.shape = Shape::Gang)];
+    let jobs = || vec![job("wk-1", |b| b.tasks = 2), job("wk-2", |b| b.kind = JobKind::Gang)];
     let read = || Records { jobs: jobs(), bad: bad("m/n-1"), ..Records::default() };
     let fresh = |c: &mut Cell| {
-        add_job(c, "wk-9", |b| b.parcels = 1);
+        add_job(c, "wk-9", |b| b.tasks = 1);
         commit(c);
     };
     // Until it has reported under this term, only what is new is started.
@@ -192,7 +192,7 @@
     let mut c = taken_over(Records { jobs, machines, ..Records::default() });
     assert_eq!(c.direct.len(), 1, "it is sent the new term all the same");
     assert_eq!(started(&exchange(&mut c, &other(1, &[]), T0 + 100)), ["wk-2/0"]);
-    let r = Report { berth: "retired".into(), ..report(1, 1, TERM, &[("wk-1/0", 5, "running")]) };
+    let r = Report { machine_type: "retired".into(), ..report(1, 1, TERM, &[("wk-1/0", 5, "running")]) };
     assert!(matches!(c.on_report(&r, T0 + 200), crate::workers::reports::Taken::Malformed(_)));
     let bound = c.settings.holding_ms() + c.settings.lease_ms();
     c.expire(T0 + bound + 100);
@@ -204,7 +204,7 @@
 fn finished_ranges_that_can_t_be_read_are_worked_out_once_more_and_recorded_beside() {
     // (which path can't be read, where the new ranges go)
     for (path, beside) in [("d/wk-1/0", "d/wk-1/0/0"), ("d/wk-1/0/1", "d/wk-1/0")] {
-        let jobs = vec![job("wk-1", |b| b.parcels = 2)];
+        let jobs = vec![job("wk-1", |b| b.tasks = 2)];
         let mut c = taken_over(Records { jobs, bad: bad(path), ..Records::default() });
         assert_eq!(started(&exchange(&mut c, &other(1, &[]), T0)).len(), 2, "{path}");
         let attempt = c.machines.values().flat_map(|m| m.entries.values()).next().expect("there");
@@ -227,7 +227,7 @@
     let waits = |uid: &str, on: &[&str], parts: u32| {
         let (path, mut record, stamp) = job(uid, |_| ());
         let on = on.iter().map(ToString::to_string).collect();
-        record.job.berths = Some(vec![]);
+        record.job.machine_types = Some(vec![]);
         record.waits = Some(Waits { on, berths: None, parts });
         (path, record, stamp)
     };
@@ -271,7 +271,7 @@
     c.fleet.provided = Some(0);
     assert!(c.due_rentals(T0, 9).is_empty() && c.batch(16).is_none());
     // What it has rented reports, and is used.
-    add_job(&mut c, "wk-1", |b| b.parcels = 1);
+    add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     assert_eq!(started(&exchange(&mut c, &other(1, &[]), T0 + 100)), ["wk-1/0"]);
 }
@@ -299,7 +299,7 @@
 fn what_is_done_by_one_record_and_listed_by_another_counts_until_it_is_proven_gone() {
     // Found by a random schedule (`quota`): a leader that could not read which tasks are done had started
     // one again; the next one could, left it off the machine's list, and gave its CPUs to others.
-    let jobs = vec![job("wk-1", |b| (b.parcels, b.cpus) = (2, 4.0))];
+    let jobs = vec![job("wk-1", |b| (b.tasks, b.cpus) = (2, 4.0))];
     let done = vec![("d/wk-1/0".to_string(), DoneRecord { r: vec![0, 1] }, 4)];
     let machines = vec![machine("n-1", "small", &[("wk-1", 5, 0)])];
     let mut c = taken_over(Records { jobs, done, machines, ..Records::default() });
@@ -322,7 +322,7 @@
         let mut c = cell();
         c.hurry = hurry;
         let read = Records {
-            jobs: vec![job("wk-1", |b| (b.parcels, b.cpus) = (3, 4.0))],
+            jobs: vec![job("wk-1", |b| (b.tasks, b.cpus) = (3, 4.0))],
             machines: vec![
                 machine("n-1", "small", &[("wk-1", 9, 0)]),
                 machine("n-2", "small", &[]),
@@ -348,5 +348,5 @@
     let on = [("wk-1/0", 9, "running")];
     c.on_report(&report(1, 5, TERM - 1, &on), T0 + 10);
     c.on_report(&report(1, 6, TERM, &on), T0 + 20);
-    assert_eq!(c.squared.words(), "1 gone on");
+    assert_eq!(c.squared.summary(), "1 gone on");
 }
--- a/crates/core/src/workers/deaf.rs
+++ b/crates/core/src/workers/deaf.rs
@@ -64,7 +64,7 @@
     /// after so many reports, each answered, and in how many answers tasks were sent.
     fn reports(hears: impl Fn(u64) -> bool, count: u64) -> (Cell, usize) {
         let mut c = cell();
-        add_job(&mut c, "wk-1", |b| (b.parcels, b.cpus, b.due_s) = (1, 1.0, None));
+        add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
         commit(&mut c);
         let (mut listed, mut sent): (Vec<(String, u64)>, usize) = (vec![], 0);
         for n in 1..=count {
@@ -72,12 +72,12 @@
                 listed.iter().map(|(p, a)| (p.as_str(), *a, "running")).collect();
             let orders = exchange(&mut c, &report(1, n, TERM, &parcels), T0 + n * 5_000);
             let runs = |o: &Order| match o {
-                Order::Run { parcel, attempt } => Some((parcel.clone(), *attempt)),
+                Order::Run { task_id: parcel, attempt } => Some((parcel.clone(), *attempt)),
                 _ => None,
             };
             sent += orders
                 .iter()
-                .filter(|o| matches!(o, Order::Run { parcel, .. } if parcel.starts_with("wk-")))
+                .filter(|o| matches!(o, Order::Run { task_id, .. } if task_id.starts_with("wk-")))
                 .count();
             if hears(n) {
                 listed.extend(orders.iter().filter_map(runs));
@@ -110,7 +110,7 @@
     fn half_a_fleet_that_is_deaf_is_given_back_a_few_at_a_time() {
         let mut c = cell();
         for n in 0..200 {
-            let r = |tally| Report { hearth: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
+            let r = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
             exchange(&mut c, &r(1), T0);
             if n % 2 == 0 {
                 let mid = c.machines.id(format!("n-{n}").as_str()).expect("there");
--- a/crates/core/src/workers/ends.rs
+++ b/crates/core/src/workers/ends.rs
@@ -6,7 +6,7 @@
 use crate::state::machine::Machine;
 use crate::state::names::*;
 use crate::state::served;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 
 impl Cell {
     /// Cancels; no task of the job is started from here on, and all of them are stopped.
@@ -21,7 +21,7 @@
             job.waiting.clear();
             let at = job.turn_at;
             self.queue.remove(&(at, id));
-            self.service.cancelled(served::key(id), served::pair(&job.spec));
+            self.service.job_cancelled(served::key(id), served::pair(&job.spec));
             self.links.reconsider(job);
         }
         self.stop_all(id, now, 0.0);
@@ -39,7 +39,7 @@
         let proves = !job.proven && job.failures > 0;
         // A newer attempt, if one is on its way, has nothing left to do. Found in drawn scenes: of a gang it was never sent,
         // since the job was over, and its place used the limit of its team for as long as the leader led.
-        let again = job.spec.shape != Shape::Service && job.onto.contains_key(&task);
+        let again = job.spec.shape != JobKind::Service && job.onto.contains_key(&task);
         let ver = self.touch(Key::Done(id, chunk));
         if let Some(job) = self.jobs.get_mut(&id) {
             job.unsaved.insert(task, ver);
--- a/crates/core/src/workers/leases.rs
+++ b/crates/core/src/workers/leases.rs
@@ -15,7 +15,7 @@
             .map(|(mid, _)| *mid)
             .collect();
         for mid in &over {
-            self.recovery.gone(Machine(mid.0));
+            self.recovery.machine_gone(Machine(mid.0));
             if let Some(m) = self.machines.get_mut(mid) {
                 m.foreign.clear();
             }
@@ -54,7 +54,7 @@
 
     /// The machine is gone for certain: so is all that was on it.
     pub fn remove_machine(&mut self, mid: MachineId) {
-        self.recovery.gone(Machine(mid.0));
+        self.recovery.machine_gone(Machine(mid.0));
         let Some(m) = self.machines.get(&mid) else { return };
         let name = m.name.clone();
         let keys: Vec<(JobId, u32)> = m.entries.keys().copied().collect();
--- a/crates/core/src/workers/nudges.rs
+++ b/crates/core/src/workers/nudges.rs
@@ -16,7 +16,7 @@
 /// An order that its worker refuses, and shows in its next report.
 pub(super) fn nudge(attempt: u64) -> Order {
     // Each a task of its own: the one before may not be forgotten yet.
-    Order::Run { parcel: format!("{NUDGE}/{}", attempt & 0xff_ffff), attempt }
+    Order::Run { task_id: format!("{NUDGE}/{}", attempt & 0xff_ffff), attempt }
 }
 
 impl Cell {
@@ -77,7 +77,7 @@
     }
 
     fn place_one(c: &mut Cell) -> usize {
-        add_job(c, "wk-1", |b| (b.parcels, b.cpus, b.due_s) = (1, 1.0, None));
+        add_job(c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
         commit(c);
         c.place(T0 + 100);
         assert!(c.direct.is_empty(), "nothing before it is recorded");
@@ -91,7 +91,7 @@
         assert_eq!(place_one(&mut c), 1);
         let d = c.direct.pop().expect("one");
         let is_nudge =
-            |o: &Order| matches!(o, Order::Run { parcel, .. } if parcel.starts_with(NUDGE));
+            |o: &Order| matches!(o, Order::Run { task_id, .. } if task_id.starts_with(NUDGE));
         assert!(d.orders.len() == 1 && d.orders.iter().all(is_nudge), "no start: {:?}", d.orders);
         assert!(c.nudge_helps(mid));
         // Recorded again, it is not asked again; its report carries the start, and the nudge is of no use any more.
@@ -103,8 +103,8 @@
         assert!(!c.nudge_helps(mid), "a report waits for its answer");
         let orders = c.orders(mid, (1, 2), T0 + 200, true).expect("orders").orders;
         assert!(
-            matches!(&orders[..], [Order::Forget { parcel, .. }, Order::Run { parcel: run, .. }]
-            if parcel == "nudge/9" && run == "wk-1/0")
+            matches!(&orders[..], [Order::Forget { task_id, .. }, Order::Run { task_id: run, .. }]
+            if task_id == "nudge/9" && run == "wk-1/0")
         );
         assert!(!c.nudge_helps(mid) && c.machines[&mid].blamed == 0);
         // While the report waits at the door, its response is the quicker way.
--- a/crates/core/src/workers/orders.rs
+++ b/crates/core/src/workers/orders.rs
@@ -4,7 +4,7 @@
 use crate::state::ledger::Key;
 use crate::state::machine::Seen;
 use crate::state::names::*;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 use copperhaven_wire::workers::{Order, Orders};
 
 impl Cell {
@@ -18,7 +18,7 @@
 
     pub(crate) fn finished(&self, id: JobId, task: u32) -> bool {
         self.jobs.get(&id).is_none_or(|j| {
-            j.cancelled() || j.spec.shape == Shape::Service || self.done_saved(id, task)
+            j.cancelled() || j.spec.shape == JobKind::Service || self.done_saved(id, task)
         })
     }
 
@@ -44,12 +44,12 @@
                 |p: &str| p.split('/').next().is_some_and(|uid| self.aside.job(uid).is_some());
             // What a job that is set aside has done is kept until its record is mended.
             if !x.done || x.id.map_or(!aside(&x.parcel), |id| self.finished(id, x.task)) {
-                orders.push(Order::Forget { parcel: x.parcel.clone(), attempt: x.attempt });
+                orders.push(Order::Forget { task_id: x.parcel.clone(), attempt: x.attempt });
             }
         }
         for (parcel, attempt) in &m.strays {
             let parcel = parcel.clone();
-            orders.push(Order::Halt { parcel, attempt: *attempt, wind_down: 0.0 });
+            orders.push(Order::Halt { task_id: parcel, attempt: *attempt, grace_s: 0.0 });
         }
         orders.truncate(MOST);
         orders.extend(sign);
@@ -60,12 +60,12 @@
             }
             let parcel = self.parcel(*id, *task);
             if let Some((_, grace)) = e.stop {
-                orders.push(Order::Halt { parcel, attempt: e.attempt, wind_down: grace });
+                orders.push(Order::Halt { task_id: parcel, attempt: e.attempt, grace_s: grace });
             } else if e.seen == Seen::Not && !e.inherited && lead && m.fenced {
                 let open = self.jobs.get(id).is_some_and(|j| j.open());
                 let session = e.mark.is_none_or(|m| m.0 == at.0);
                 if open && session && self.is_saved(&key, e.ver) {
-                    runs.push((*id, *task, Order::Run { parcel, attempt: e.attempt }));
+                    runs.push((*id, *task, Order::Run { task_id: parcel, attempt: e.attempt }));
                 }
             }
         }
@@ -79,6 +79,6 @@
         m.answered = now.max(m.heard);
         m.replied = at;
         m.hearing.answered(at.0, &orders, m.fenced);
-        Some(Orders { warrant: self.term, orders })
+        Some(Orders { term: self.term, orders })
     }
 }
