--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -7,8 +7,8 @@
 use crate::state::machine::{Ended, Entry, RESERVE_MS, Seen};
 use crate::state::names::*;
 use crate::state::served;
-use copperhaven_wire::jobs::Shape;
-use copperhaven_wire::workers::{Parcel, Report};
+use copperhaven_wire::jobs::JobKind;
+use copperhaven_wire::workers::{TaskReport, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a report came to.
@@ -31,36 +31,36 @@
 impl Cell {
     /// Takes a report in. Pure bookkeeping; the orders follow with `orders`.
     pub fn on_report(&mut self, r: &Report, now: u64) -> Taken {
-        if r.warrant > self.term {
-            return Taken::NewerTerm(r.warrant);
+        if r.term > self.term {
+            return Taken::NewerTerm(r.term);
         }
         self.pass_service(now);
-        if self.fleet.is_gone(&r.hearth) {
+        if self.fleet.is_gone(&r.machine) {
             // A report held back by the network, from a machine that the cloud has since confirmed
             // as gone: what it lists is nowhere any more.
             return Taken::Stale;
         }
-        let mid = match self.machines.id(r.hearth.as_str()) {
+        let mid = match self.machines.id(r.machine.as_str()) {
             Some(mid) => mid,
             None => {
-                if r.hearth.is_empty() || r.hearth.len() > 100 || r.hearth.contains([' ', '/']) {
+                if r.machine.is_empty() || r.machine.len() > 100 || r.machine.contains([' ', '/']) {
                     return Taken::Malformed("name of the machine");
                 }
                 let (Some(kind), Some(zone)) =
-                    (self.names.types.get(&r.berth), self.names.zones.get(&r.yard))
+                    (self.names.types.get(&r.machine_type), self.names.zones.get(&r.zone))
                 else {
                     return Taken::Malformed("unknown machine type or zone");
                 };
                 if kind.ix() >= self.flavors.len() {
                     return Taken::Malformed("unknown machine type");
                 }
-                self.add_machine(&r.hearth, &r.addr, kind, zone, r.loaners, now)
+                self.add_machine(&r.machine, &r.addr, kind, zone, r.spot, now)
             }
         };
-        let rented = self.fleet.came_up(&r.hearth, now);
+        let rented = self.fleet.came_up(&r.machine, now);
         let Some(m) = self.machines.get_mut(&mid) else { return Taken::Stale };
         m.rented = rented.unwrap_or(m.rented);
-        if (r.shift, r.tally) <= m.last {
+        if (r.session, r.sequence) <= m.last {
             return Taken::Stale;
         }
         self.listen(mid, r, now);
@@ -69,32 +69,32 @@
             m.idle_since = now;
             self.stir = true;
         }
-        m.last = (r.shift, r.tally);
+        m.last = (r.session, r.sequence);
         m.addr.clone_from(&r.addr);
         m.heard = now;
-        let of_term = r.warrant == self.term;
+        let of_term = r.term == self.term;
         let first = of_term && !m.fenced;
         if first {
             m.fenced = true;
             self.stir = true;
         }
-        m.recall_at = r.recall_s.map(|s| now + (s.clamp(0.0, 86_400.0) * 1000.0) as u64);
+        m.recall_at = r.reclaim_in_s.map(|s| now + (s.clamp(0.0, 86_400.0) * 1000.0) as u64);
         if first {
             self.square(mid, r, now);
         }
-        let hidden = self.aside.machine(&r.hearth) || self.aside.hides_any();
+        let hidden = self.aside.machine(&r.machine) || self.aside.hides_any();
         let Some(m) = self.machines.get_mut(&mid) else { return Taken::Stale };
         m.ended.clear();
         m.strays.clear();
         let mut listed: BTreeSet<(JobId, u32)> = BTreeSet::new();
         let mut foreign: BTreeMap<(&str, u64), BTreeSet<u32>> = BTreeMap::new();
-        for p in &r.parcels {
-            let Some((uid, task)) = split(&p.parcel) else { continue };
+        for p in &r.tasks {
+            let Some((uid, task)) = split(&p.task_id) else { continue };
             let known = self.jobs.id(uid);
             if p.status == "ended" {
                 let done = p.cause.as_deref() == Some("done");
                 let ended =
-                    Ended { id: known, task, parcel: p.parcel.clone(), attempt: p.attempt, done };
+                    Ended { id: known, task, parcel: p.task_id.clone(), attempt: p.attempt, done };
                 if let Some(id) = known {
                     let entry = self.machines[&mid].entries.get(&(id, task));
                     if entry.is_some_and(|e| e.attempt == p.attempt) {
@@ -134,13 +134,13 @@
                         foreign.entry((uid, p.attempt)).or_default().insert(task);
                     }
                     if let Some(m) = self.machines.get_mut(&mid) {
-                        m.strays.push((p.parcel.clone(), p.attempt));
+                        m.strays.push((p.task_id.clone(), p.attempt));
                     }
                 }
             }
         }
         if of_term {
-            let at = (r.shift, r.tally);
+            let at = (r.session, r.sequence);
             // What its answers did not bring there waits no longer for the next one.
             let deaf = self.machines[&mid].hearing.is_deaf();
             let absent: Vec<(JobId, u32)> = self.machines[&mid]
@@ -148,7 +148,7 @@
                 .iter()
                 .filter(|(k, e)| {
                     let spoken = e.inherited || e.seen != Seen::Not;
-                    let other_session = e.mark.is_some_and(|m| m.0 != r.shift);
+                    let other_session = e.mark.is_some_and(|m| m.0 != r.session);
                     !listed.contains(k) && (spoken || other_session || deaf || e.stop.is_some())
                 })
                 .filter(|(_, e)| e.mark.is_none_or(|m| m < at))
@@ -208,7 +208,7 @@
                 job.running += 1;
                 job.started = true;
                 job.wait = Wait::Nothing;
-                self.service.started(served::pair(&job.spec), 1);
+                self.service.tasks_started(served::pair(&job.spec), 1);
                 // When a task started is not known if an earlier leader had it started. One whose
                 // image is there starts right away: the report before did not list it yet.
                 e.running_at = if taken_over { 0 } else { now };
@@ -230,7 +230,7 @@
     fn adopt(&mut self, mid: MachineId, id: JobId, task: u32, attempt: u64, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
         let free = job.open() && job.awaits.is_empty() && job.waiting.contains(task);
-        let mates = job.spec.shape != Shape::Gang || job.onto.is_empty() || job.attempt == attempt;
+        let mates = job.spec.shape != JobKind::Gang || job.onto.is_empty() || job.attempt == attempt;
         if !free || !mates {
             return;
         }
@@ -261,7 +261,7 @@
     }
 
     /// A task exited: its place is free, and the reason tells what comes next.
-    fn on_ended(&mut self, mid: MachineId, id: JobId, task: u32, p: &Parcel, now: u64) {
+    fn on_ended(&mut self, mid: MachineId, id: JobId, task: u32, p: &TaskReport, now: u64) {
         let Some(entry) = self.detach(mid, id, task) else { return };
         let Some(spec) = self.jobs.get(&id).map(|j| j.spec.clone()) else { return };
         match p.cause.as_deref() {
@@ -271,7 +271,7 @@
                     let s = now.saturating_sub(entry.running_at) as f64 / 1000.0;
                     let pool = self.pool(zone, kind);
                     self.rates.finished(pool, spec.class, s);
-                    self.service.useful(served::pair(&spec), s * spec.cpus);
+                    self.service.task_completed(served::pair(&spec), s * spec.cpus);
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.runs.0 += 1;
                         job.runs.1 += s;
@@ -282,12 +282,12 @@
                     m.blamed = 0;
                     m.accused.clear();
                 }
-                if spec.shape == Shape::Gang {
+                if spec.shape == JobKind::Gang {
                     // If one task of a gang is done, all are.
                     for t in 0..spec.tasks {
                         self.task_done(id, t);
                     }
-                } else if spec.shape == Shape::Array {
+                } else if spec.shape == JobKind::Array {
                     self.task_done(id, task);
                 }
             }
@@ -305,7 +305,7 @@
         }
         if p.cause.as_deref() != Some("done") {
             self.lost_task(id);
-            if spec.shape != Shape::Gang {
+            if spec.shape != JobKind::Gang {
                 return;
             }
             if p.cause.as_deref() == Some("alone") && self.mates_fetch(id, now) {
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -3,7 +3,7 @@
 use crate::state::cell::Cell;
 use crate::state::machine::{Direct, Seen};
 use crate::state::names::*;
-use copperhaven_wire::jobs::Shape;
+use copperhaven_wire::jobs::JobKind;
 use copperhaven_wire::workers::Order;
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
                 self.teams.stop(&job.spec);
             }
         }
-        let order = Order::Halt { parcel, attempt, wind_down: grace };
+        let order = Order::Halt { task_id: parcel, attempt, grace_s: grace };
         let (addr, shift) = (m.addr.clone(), m.last.0);
         match self.direct.iter_mut().find(|d| d.addr == addr && d.shift == shift) {
             Some(d) => d.orders.push(order),
@@ -63,7 +63,7 @@
     /// a replacement with the same attempt.
     pub fn lost_task(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if job.spec.shape != Shape::Gang || !job.open() {
+        if job.spec.shape != JobKind::Gang || !job.open() {
             return;
         }
         if job.onto.is_empty() {
@@ -98,7 +98,7 @@
             if wait && e.seen != Seen::Not && e.seen != Seen::Pulling {
                 continue;
             }
-            if job.spec.shape == Shape::Gang {
+            if job.spec.shape == JobKind::Gang {
                 gangs.insert(*id);
             } else {
                 single.push((*id, *task, if can_save { save + 1.0 } else { 0.0 }));
--- a/crates/core/tests/failures/leaders.rs
+++ b/crates/core/tests/failures/leaders.rs
@@ -181,7 +181,7 @@
             if lead && !l.cell.orders_ready(mid) {
                 l.waiting.push((i, at, tally));
             } else if let Some(o) = l.cell.orders(mid, at, now, lead) {
-                out.push((i, Msg::Response(i, o.warrant, at.0, tally, o.orders)));
+                out.push((i, Msg::Response(i, o.term, at.0, tally, o.orders)));
             }
         }
         for (i, msg) in out {
@@ -225,7 +225,7 @@
                 "done" => {
                     assert!(!self.told_cancelled.contains_key(uid), "went_back: {uid}");
                     let done = self.finished.get(uid).map_or(0, BTreeSet::len);
-                    assert_eq!(done as u64, body.parcels, "not_done: {uid}");
+                    assert_eq!(done as u64, body.tasks, "not_done: {uid}");
                     self.told_done.insert(uid.clone());
                 }
                 _ => {
@@ -267,7 +267,7 @@
                         if lead {
                             l.cell.place(now);
                         }
-                        l.waiting.push((i, (report.shift, report.tally), report.tally));
+                        l.waiting.push((i, (report.session, report.sequence), report.sequence));
                     }
                     Taken::NewerTerm(_) => l.renewed = 0,
                     _ => {}
@@ -277,7 +277,7 @@
                 let Some(l) = self.leaders.last_mut() else { return };
                 if let Taken::Answer(_) = l.cell.on_report(&report, now) {
                     self.copies += 1;
-                    l.waiting.push((i, (report.shift, report.tally), report.tally));
+                    l.waiting.push((i, (report.session, report.sequence), report.sequence));
                 }
             }
             Msg::Response(i, warrant, shift, tally, orders) => {
--- a/crates/core/tests/failures/users.rs
+++ b/crates/core/tests/failures/users.rs
@@ -5,7 +5,7 @@
 use copperhaven_core::for_tests::body;
 use copperhaven_core::pipelines::awaits::{Awaits, Named};
 use copperhaven_core::records::Record;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use rand::Rng;
 use std::collections::{BTreeSet, HashMap};
 
@@ -19,18 +19,18 @@
             let gang = self.chance(0.25);
             let red = self.chance(0.6);
             let mut body = JobBody {
-                lot: "c".into(),
-                owner: if red { "red" } else { "blue" }.into(),
-                shape: if gang { Shape::Gang } else { Shape::Array },
-                precedence: if gang { Precedence::High } else { Precedence::Low },
-                parcels: if gang { 2 } else { self.rng.random_range(1..20) },
+                class: "c".into(),
+                team: if red { "red" } else { "blue" }.into(),
+                kind: if gang { JobKind::Gang } else { JobKind::Array },
+                priority: if gang { Priority::High } else { Priority::Low },
+                tasks: if gang { 2 } else { self.rng.random_range(1..20) },
                 cpus: if gang { 4.0 } else { self.rng.random_range(1..7) as f64 * 0.5 },
-                cargo: "i".into(),
-                yard: self.chance(0.1).then(|| "s".into()),
-                together: gang && self.chance(0.5),
-                loaners: self.chance(0.7),
-                expected_s: 10.0,
-                due_s: None,
+                image: "i".into(),
+                zone: self.chance(0.1).then(|| "s".into()),
+                one_zone: gang && self.chance(0.5),
+                spot: self.chance(0.7),
+                estimate_s: 10.0,
+                deadline_s: None,
                 ..body(&format!("wk-{n:06}"))
             };
             // Pipelines: it names jobs that were accepted, in any state.
@@ -60,7 +60,7 @@
                 let (settings, flavors) = (cell.settings.clone(), cell.flavors.clone());
                 let spec = admit_shape(&body, &mut cell.names, &flavors, &settings);
                 cell.take_in(spec.expect("valid"), body.clone(), names, now, now);
-                body.awaits = Some(named);
+                body.depends_on = Some(named);
                 self.submitted.insert(body.uid.clone(), body);
             }
         }
@@ -69,7 +69,7 @@
         if self.chance(0.01) && !self.submitted.is_empty() {
             let n = self.rng.random_range(0..self.submitted.len());
             let mut body = self.submitted[&format!("wk-{n:06}")].clone();
-            let named = body.awaits.take().unwrap_or_default();
+            let named = body.depends_on.take().unwrap_or_default();
             let read = self.read(&named);
             let cell = &mut self.leaders[k].cell;
             let known = cell.jobs.has(body.uid.as_str())
--- a/crates/core/tests/failures/workers.rs
+++ b/crates/core/tests/failures/workers.rs
@@ -2,8 +2,8 @@
 
 use crate::world::*;
 use copperhaven_core::records::Record;
-use copperhaven_wire::jobs::Shape;
-use copperhaven_wire::workers::{Order, Parcel, Report};
+use copperhaven_wire::jobs::JobKind;
+use copperhaven_wire::workers::{Order, TaskReport, Report};
 use rand::Rng;
 
 impl World {
@@ -13,8 +13,8 @@
         let parcels = w
             .tasks
             .iter()
-            .map(|(parcel, t)| Parcel {
-                parcel: parcel.clone(),
+            .map(|(parcel, t)| TaskReport {
+                task_id: parcel.clone(),
                 attempt: t.attempt,
                 status: if t.cause.is_some() { "ended" } else { "running" }.into(),
                 cause: t.cause.map(Into::into),
@@ -22,16 +22,16 @@
             })
             .collect();
         Report {
-            hearth: w.name.clone(),
+            machine: w.name.clone(),
             addr: i.to_string(),
-            berth: "m8".into(),
-            yard: w.zone.into(),
-            loaners: w.spot,
-            shift: w.shift,
-            tally: w.tally,
-            warrant: w.token,
-            recall_s: None,
-            parcels,
+            machine_type: "m8".into(),
+            zone: w.zone.into(),
+            spot: w.spot,
+            session: w.shift,
+            sequence: w.tally,
+            term: w.token,
+            reclaim_in_s: None,
+            tasks: parcels,
         }
     }
 
@@ -39,11 +39,11 @@
         for order in orders {
             match order {
                 // A task of no job is refused, and shows.
-                Order::Run { parcel, attempt } if parcel.starts_with("nudge/") => {
+                Order::Run { task_id: parcel, attempt } if parcel.starts_with("nudge/") => {
                     let t = Task { attempt, ends: self.now, cause: Some("no_such") };
                     self.workers[i].tasks.entry(parcel).or_insert(t);
                 }
-                Order::Run { parcel, attempt } => {
+                Order::Run { task_id: parcel, attempt } => {
                     let known = self.workers[i].tasks.get(&parcel);
                     if known.is_some_and(|t| t.attempt == attempt) {
                         continue;
@@ -58,13 +58,13 @@
                     self.workers[i].tasks.insert(parcel, t);
                     self.check_quota();
                 }
-                Order::Halt { parcel, attempt, .. } => {
+                Order::Halt { task_id: parcel, attempt, .. } => {
                     let task = self.workers[i].tasks.get_mut(&parcel);
                     if let Some(t) = task.filter(|t| t.attempt == attempt && t.cause.is_none()) {
                         t.cause = Some("halted");
                     }
                 }
-                Order::Forget { parcel, attempt } => {
+                Order::Forget { task_id: parcel, attempt } => {
                     let w = &mut self.workers[i];
                     if w.tasks.get(&parcel).is_some_and(|t| t.attempt == attempt) {
                         w.tasks.remove(&parcel);
@@ -78,15 +78,15 @@
         self.starts += 1;
         let (uid, _) = parcel.split_once('/').expect("parcel");
         let body = self.submitted.get(uid).expect("a job that was submitted");
-        self.waited += usize::from(body.awaits.iter().flatten().count() > 0);
+        self.waited += usize::from(body.depends_on.iter().flatten().count() > 0);
         for (k, w) in self.workers.iter().enumerate() {
             let there = w.tasks.get(parcel).is_some_and(|t| t.cause.is_none());
             assert!(!there, "ran_twice: {parcel} on {i} while on {k}");
         }
         let w = &self.workers[i];
-        assert!(body.loaners || !w.spot, "wrong_place: {parcel} on a spot machine");
-        assert!(body.yard.as_deref().is_none_or(|z| z == w.zone), "wrong_place: {parcel}");
-        if body.together {
+        assert!(body.spot || !w.spot, "wrong_place: {parcel} on a spot machine");
+        assert!(body.zone.as_deref().is_none_or(|z| z == w.zone), "wrong_place: {parcel}");
+        if body.one_zone {
             let other = self.workers.iter().any(|o| {
                 o.zone != w.zone
                     && o.tasks
@@ -95,7 +95,7 @@
             });
             assert!(!other, "wrong_place: {parcel} in another zone than its mates");
         }
-        for need in body.awaits.iter().flatten() {
+        for need in body.depends_on.iter().flatten() {
             let done = matches!(self.store.get(&format!("f/{need}")), Some((Record::Final(f), _)) if f.done);
             assert!(done, "too_early: {parcel} before {need}");
         }
@@ -110,7 +110,7 @@
                 .flat_map(|w| w.tasks.iter())
                 .filter(|(_, t)| t.cause.is_none())
                 .filter_map(|(p, _)| self.submitted.get(p.split('/').next()?))
-                .filter(|b| b.owner == team.name)
+                .filter(|b| b.team == team.name)
                 .map(|b| b.cpus)
                 .sum();
             assert!(used <= team.cpus_max + 1e-6, "quota: {} uses {used}", team.name);
@@ -165,7 +165,7 @@
             let loyal = self.loyal.get(&i).and_then(|term| live.iter().position(|t| t == term));
             let pick = loyal.unwrap_or(pick);
             let report = self.report_of(i);
-            self.workers[i].flight = Some((report.tally, now));
+            self.workers[i].flight = Some((report.sequence, now));
             if self.chance(0.05) {
                 self.post(Msg::Report(i, live[pick], report.clone()));
             }
@@ -184,13 +184,13 @@
     pub fn finish(&mut self, i: usize, parcel: &str, attempt: u64) {
         let (uid, task) = parcel.split_once('/').expect("parcel");
         let body = &self.submitted[uid];
-        if body.shape != Shape::Gang {
+        if body.kind != JobKind::Gang {
             let task = task.parse().expect("number");
             self.finished.entry(uid.into()).or_default().insert(task);
             self.workers[i].tasks.get_mut(parcel).expect("there").cause = Some("done");
             return;
         }
-        let mates: Vec<String> = (0..body.parcels).map(|t| format!("{uid}/{t}")).collect();
+        let mates: Vec<String> = (0..body.tasks).map(|t| format!("{uid}/{t}")).collect();
         let (now, done) = (self.now, self.finished.contains_key(uid));
         let runs = |w: &Worker, p: &String| {
             let t = w.tasks.get(p);
@@ -201,7 +201,7 @@
             self.workers[i].tasks.get_mut(parcel).expect("there").cause = Some("mates_gone");
             return;
         }
-        let tasks = 0..body.parcels as u32;
+        let tasks = 0..body.tasks as u32;
         self.finished.entry(uid.into()).or_default().extend(tasks);
         for w in &mut self.workers {
             for p in &mates {
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -256,7 +256,7 @@
         let (mut all, mut next) = (BTreeSet::new(), vec![uid.to_string()]);
         while let Some(uid) = next.pop() {
             if all.insert(uid.clone()) {
-                next.extend(self.submitted[&uid].awaits.iter().flatten().cloned());
+                next.extend(self.submitted[&uid].depends_on.iter().flatten().cloned());
             }
         }
         all
--- a/crates/core/tests/packs.rs
+++ b/crates/core/tests/packs.rs
@@ -13,11 +13,11 @@
 fn running(count: usize) -> Cell {
     let mut c = cell();
     for n in 1..=count {
-        add_job(&mut c, &format!("wk-{n}"), |b| (b.parcels, b.cpus, b.due_s) = (1, 4.0, None));
+        add_job(&mut c, &format!("wk-{n}"), |b| (b.tasks, b.cpus, b.deadline_s) = (1, 4.0, None));
     }
     commit(&mut c);
     for n in 1..=count {
-        let named = |tally| Report { hearth: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
+        let named = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
         exchange(&mut c, &named(1), T0);
     }
     assert!(c.machines.values().all(|m| m.entries.len() == 1), "one task each");
@@ -86,11 +86,11 @@
     let mut c = cell();
     c.pack_machines();
     for n in 1..=4 {
-        let named = |tally| Report { hearth: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
+        let named = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
         c.on_report(&named(1), T0);
     }
     for n in 1..=4 {
-        add_job(&mut c, &format!("wk-{n}"), |b| (b.parcels, b.cpus, b.due_s) = (1, 4.0, None));
+        add_job(&mut c, &format!("wk-{n}"), |b| (b.tasks, b.cpus, b.deadline_s) = (1, 4.0, None));
     }
     commit(&mut c);
     c.place(T0 + 1);
@@ -241,8 +241,8 @@
         rebuild(&mut c, read, T0, T0);
         // Another machine comes and has room: whatever may be elsewhere is not started there.
         let other = |tally| Report {
-            hearth: "n-9".into(),
-            berth: "big".into(),
+            machine: "n-9".into(),
+            machine_type: "big".into(),
             ..report(1, tally, TERM, &[])
         };
         c.on_report(&other(1), T0 + 10);
@@ -350,9 +350,9 @@
             if rng.random_bool(0.15) {
                 jobs += 1;
                 let edit: fn(&mut copperhaven_wire::jobs::JobBody) = match jobs % 3 {
-                    0 => |b| (b.parcels, b.cpus, b.due_s) = (12, 1.0, None),
-                    1 => |b| (b.parcels, b.cpus, b.due_s) = (3, 4.0, None),
-                    _ => |b| (b.parcels, b.cpus, b.due_s) = (6, 2.0, None),
+                    0 => |b| (b.tasks, b.cpus, b.deadline_s) = (12, 1.0, None),
+                    1 => |b| (b.tasks, b.cpus, b.deadline_s) = (3, 4.0, None),
+                    _ => |b| (b.tasks, b.cpus, b.deadline_s) = (6, 2.0, None),
                 };
                 add_job(&mut c, &format!("wk-{jobs}"), edit);
             }
@@ -373,26 +373,26 @@
                         )
                     })
                     .collect();
-                let r = Report { hearth: format!("n-{n}"), ..report(1, *tally, c.term, &listed) };
+                let r = Report { machine: format!("n-{n}"), ..report(1, *tally, c.term, &listed) };
                 let ended: Vec<String> =
                     listed.iter().filter(|l| l.2 != "running").map(|l| l.0.to_string()).collect();
                 c.on_report(&r, now);
                 on.retain(|p, _| !ended.contains(p));
                 c.place(now);
-                let mid = c.machines.id(&r.hearth).expect("there");
+                let mid = c.machines.id(&r.machine).expect("there");
                 for order in c.orders(mid, (1, *tally), now, true).expect("orders").orders {
                     match order {
-                        copperhaven_wire::workers::Order::Run { parcel, attempt } => {
+                        copperhaven_wire::workers::Order::Run { task_id: parcel, attempt } => {
                             let (uid, task) = parcel.split_once('/').expect("parcel");
                             let task = task.parse().expect("task");
                             assert!(
-                                store.lists(&r.hearth, uid, task),
+                                store.lists(&r.machine, uid, task),
                                 "seed {seed}, step {step}: {parcel} on {}",
-                                r.hearth
+                                r.machine
                             );
                             on.insert(parcel, attempt);
                         }
-                        copperhaven_wire::workers::Order::Halt { parcel, .. } => {
+                        copperhaven_wire::workers::Order::Halt { task_id: parcel, .. } => {
                             on.remove(&parcel);
                         }
                         copperhaven_wire::workers::Order::Forget { .. } => {}
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -3,7 +3,7 @@
 use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, report};
 use copperhaven_core::state::cell::Cell;
 use copperhaven_core::state::machine::Seen;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use copperhaven_wire::workers::Report;
 use proptest::prelude::*;
 
@@ -11,18 +11,18 @@
 
 /// Demands of all kinds: some cover others, some keep machines for themselves, some stop others' work.
 const JOBS: [Edit; 12] = [
-    |b| (b.parcels, b.cpus, b.mem_gb, b.due_s) = (7, 1.0, 1.0, None),
-    |b| (b.parcels, b.cpus, b.mem_gb, b.precedence) = (40, 1.0, 1.0, Precedence::Low),
-    |b| (b.parcels, b.cpus, b.owner) = (5, 4.0, "blue".into()),
-    |b| (b.parcels, b.cpus, b.owner, b.loaners) = (9, 2.0, "guest".into(), true),
-    |b| (b.shape, b.parcels, b.cpus, b.precedence) = (Shape::Gang, 2, 3.0, Precedence::High),
-    |b| (b.shape, b.parcels, b.cpus, b.precedence) = (Shape::Gang, 6, 3.0, Precedence::High),
-    |b| (b.shape, b.parcels, b.cpus, b.owner) = (Shape::Gang, 4, 4.0, "blue".into()),
-    |b| (b.shape, b.parcels, b.cpus, b.together) = (Shape::Gang, 3, 2.0, true),
-    |b| (b.shape, b.parcels, b.cpus, b.spread) = (Shape::Gang, 4, 1.0, true),
-    |b| (b.shape, b.parcels, b.cpus, b.owner) = (Shape::Gang, 9, 4.0, "guest".into()),
-    |b| (b.shape, b.parcels, b.cpus, b.expected_s) = (Shape::Service, 3, 1.0, 0.0),
-    |b| (b.shape, b.parcels, b.cpus, b.stamp_every_s) = (Shape::Gang, 1, 4.0, 10.0),
+    |b| (b.tasks, b.cpus, b.mem_gb, b.deadline_s) = (7, 1.0, 1.0, None),
+    |b| (b.tasks, b.cpus, b.mem_gb, b.priority) = (40, 1.0, 1.0, Priority::Low),
+    |b| (b.tasks, b.cpus, b.team) = (5, 4.0, "blue".into()),
+    |b| (b.tasks, b.cpus, b.team, b.spot) = (9, 2.0, "guest".into(), true),
+    |b| (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 2, 3.0, Priority::High),
+    |b| (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 6, 3.0, Priority::High),
+    |b| (b.kind, b.tasks, b.cpus, b.team) = (JobKind::Gang, 4, 4.0, "blue".into()),
+    |b| (b.kind, b.tasks, b.cpus, b.one_zone) = (JobKind::Gang, 3, 2.0, true),
+    |b| (b.kind, b.tasks, b.cpus, b.spread) = (JobKind::Gang, 4, 1.0, true),
+    |b| (b.kind, b.tasks, b.cpus, b.team) = (JobKind::Gang, 9, 4.0, "guest".into()),
+    |b| (b.kind, b.tasks, b.cpus, b.estimate_s) = (JobKind::Service, 3, 1.0, 0.0),
+    |b| (b.kind, b.tasks, b.cpus, b.checkpoint_interval_s) = (JobKind::Gang, 1, 4.0, 10.0),
 ];
 
 #[derive(Debug, Clone)]
@@ -69,7 +69,7 @@
         parcels.iter().map(|(p, a, s)| (p.as_str(), *a, *s)).collect();
     let zone = if i.is_multiple_of(2) { "north" } else { "south" };
     let (spot, yard) = (i % 5 == 4, zone.to_string());
-    Report { hearth: name, yard, loaners: spot, ..report(1, now, TERM, &list) }
+    Report { machine: name, zone: yard, spot, ..report(1, now, TERM, &list) }
 }
 
 /// Who is where, told to stop or not; for whom machines are kept; why jobs wait.
@@ -109,7 +109,7 @@
                         c.on_report(&r, now)
                     {
                         commit(c);
-                        c.orders(mid, (r.shift, r.tally), now, true);
+                        c.orders(mid, (r.session, r.sequence), now, true);
                     }
                 }
             }
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -11,11 +11,11 @@
 /// A machine that was just told to run six tasks, and their attempts.
 fn begun() -> (Cell, Vec<(String, u64)>) {
     let mut c = cell();
-    add_job(&mut c, "wk-1", |b| (b.parcels, b.cpus, b.due_s) = (TASKS, 0.5, None));
+    add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (TASKS, 0.5, None));
     commit(&mut c);
     let orders = exchange(&mut c, &report(1, 1, TERM, &[]), T0);
     let run = |o: Order| match o {
-        Order::Run { parcel, attempt } => (parcel, attempt),
+        Order::Run { task_id: parcel, attempt } => (parcel, attempt),
         o => panic!("{o:?}"),
     };
     (c, orders.into_iter().map(run).collect())
--- a/crates/core/tests/takeover_input.rs
+++ b/crates/core/tests/takeover_input.rs
@@ -4,8 +4,8 @@
 use copperhaven_core::for_tests::{T0 as NOW, TERM, cell};
 use copperhaven_core::records::*;
 use copperhaven_core::takeover::{Records, rebuild};
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
-use copperhaven_wire::workers::{Parcel, Report};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::workers::{TaskReport, Report};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -53,26 +53,26 @@
 fn body(rng: &mut StdRng, uid: String) -> JobBody {
     JobBody {
         uid,
-        lot: name(rng, &["c", "d"]),
-        owner: name(rng, &["red", "blue"]),
-        shape: pick(rng, &[Shape::Array, Shape::Gang, Shape::Service]),
-        precedence: pick(rng, &[Precedence::Production, Precedence::Low]),
-        parcels: if rng.random_bool(0.9) { rng.random_range(1..40) } else { number(rng) },
+        class: name(rng, &["c", "d"]),
+        team: name(rng, &["red", "blue"]),
+        kind: pick(rng, &[JobKind::Array, JobKind::Gang, JobKind::Service]),
+        priority: pick(rng, &[Priority::Production, Priority::Low]),
+        tasks: if rng.random_bool(0.9) { rng.random_range(1..40) } else { number(rng) },
         cpus: amount(rng),
-        cards: 0.0,
+        gpus: 0.0,
         mem_gb: amount(rng),
-        cargo: name(rng, &["i"]),
-        pull_gb: amount(rng),
-        berths: rng.random_bool(0.2).then(|| vec![name(rng, &["small", "unheard of"])]),
-        yard: rng.random_bool(0.2).then(|| name(rng, &["north", "south"])),
-        together: rng.random_bool(0.2),
+        image: name(rng, &["i"]),
+        image_gb: amount(rng),
+        machine_types: rng.random_bool(0.2).then(|| vec![name(rng, &["small", "unheard of"])]),
+        zone: rng.random_bool(0.2).then(|| name(rng, &["north", "south"])),
+        one_zone: rng.random_bool(0.2),
         spread: rng.random_bool(0.2),
-        loaners: rng.random_bool(0.5),
-        expected_s: amount(rng),
-        stamp_every_s: amount(rng),
-        stamp_s: amount(rng),
-        due_s: rng.random_bool(0.5).then(|| amount(rng)),
-        awaits: rng.random_bool(0.05).then(|| vec![self::uid(rng)]),
+        spot: rng.random_bool(0.5),
+        estimate_s: amount(rng),
+        checkpoint_interval_s: amount(rng),
+        checkpoint_save_s: amount(rng),
+        deadline_s: rng.random_bool(0.5).then(|| amount(rng)),
+        depends_on: rng.random_bool(0.05).then(|| vec![self::uid(rng)]),
     }
 }
 
@@ -136,8 +136,8 @@
 
 fn report(rng: &mut StdRng, term: u64, tally: u64) -> Report {
     let parcels = (0..rng.random_range(0..5))
-        .map(|_| Parcel {
-            parcel: format!("{}/{}", uid(rng), pick(rng, &["0", "3", "4294967295", "-1", "x", ""])),
+        .map(|_| TaskReport {
+            task_id: format!("{}/{}", uid(rng), pick(rng, &["0", "3", "4294967295", "-1", "x", ""])),
             attempt: number(rng),
             status: pick(rng, &["pulling", "waiting", "running", "saving", "ended", "?"]).into(),
             cause: pick(rng, &[None, Some("done"), Some("error"), Some("alone"), Some("?")])
@@ -146,16 +146,16 @@
         })
         .collect();
     Report {
-        hearth: format!("n-{}", rng.random_range(0..7)),
+        machine: format!("n-{}", rng.random_range(0..7)),
         addr: "127.0.0.1:9".into(),
-        berth: name(rng, &["small", "big"]),
-        yard: name(rng, &["north", "south"]),
-        loaners: false,
-        shift: pick(rng, &[1, 1, 1, u64::MAX]),
-        tally,
-        warrant: pick(rng, &[term, term, term - 1]),
-        recall_s: pick(rng, &[None, None, Some(f64::NAN), Some(-1.0), Some(1e300), Some(30.0)]),
-        parcels,
+        machine_type: name(rng, &["small", "big"]),
+        zone: name(rng, &["north", "south"]),
+        spot: false,
+        session: pick(rng, &[1, 1, 1, u64::MAX]),
+        sequence: tally,
+        term: pick(rng, &[term, term, term - 1]),
+        reclaim_in_s: pick(rng, &[None, None, Some(f64::NAN), Some(-1.0), Some(1e300), Some(30.0)]),
+        tasks: parcels,
     }
 }
 
@@ -171,7 +171,7 @@
         let r = report(rng, TERM, step);
         if let copperhaven_core::workers::reports::Taken::Answer(mid) = c.on_report(&r, now) {
             c.place(now);
-            let _ = c.orders(mid, (r.shift, r.tally), now, true);
+            let _ = c.orders(mid, (r.session, r.sequence), now, true);
         }
         c.expire(now);
         c.follow(now);
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -11,10 +11,10 @@
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::Taken;
-use copperhaven_wire::cloud::WireFlavor;
+use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::encode;
-use copperhaven_wire::jobs::{JobBody, Precedence, Shape};
-use copperhaven_wire::workers::{Order, Parcel, Report};
+use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::workers::{Order, TaskReport, Report};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
     let mut names = Names::new(&settings);
     let types: FlavorsRecord = read("c/flavors");
     let flavors: Vec<Flavor> =
-        types.berths.iter().map(|w: &WireFlavor| Flavor::from_wire(w, &mut names)).collect();
+        types.berths.iter().map(|w: &WireMachineType| Flavor::from_wire(w, &mut names)).collect();
     let leader = Cond { path: "c/leader".into(), stamp: 50 };
     let mut c = Cell::new(Arc::new(settings), TERM, leader, T0, names, flavors);
     c.ledger.value_limit = value_limit;
@@ -84,13 +84,13 @@
 
 fn submit(c: &mut Cell, uid: &str, edit: fn(&mut JobBody)) -> JobId {
     let mut body = JobBody {
-        parcels: 1,
+        tasks: 1,
         cpus: 0.25,
         mem_gb: 0.5,
-        cargo: "img-07".into(),
-        pull_gb: 1.5,
-        berths: Some(vec!["big".into()]),
-        due_s: None,
+        image: "img-07".into(),
+        image_gb: 1.5,
+        machine_types: Some(vec!["big".into()]),
+        deadline_s: None,
         ..body(uid)
     };
     edit(&mut body);
@@ -102,18 +102,18 @@
     id
 }
 
-fn report(name: &str, tally: u64, parcels: Vec<Parcel>) -> Report {
+fn report(name: &str, tally: u64, parcels: Vec<TaskReport>) -> Report {
     Report {
-        hearth: name.into(),
+        machine: name.into(),
         addr: "10.1.0.232:9000".into(),
-        berth: "big".into(),
-        yard: "north".into(),
-        loaners: false,
-        shift: 1,
-        tally,
-        warrant: TERM,
-        recall_s: None,
-        parcels,
+        machine_type: "big".into(),
+        zone: "north".into(),
+        spot: false,
+        session: 1,
+        sequence: tally,
+        term: TERM,
+        reclaim_in_s: None,
+        tasks: parcels,
     }
 }
 
@@ -151,11 +151,11 @@
     assert!(others.iter().all(|x| x.path() != "m/n-000231"));
     submit(&mut c, "wk-000600", |_| ());
     c.touch(Key::Machine(mid));
-    let on: Vec<Parcel> = c.machines[&mid]
+    let on: Vec<TaskReport> = c.machines[&mid]
         .entries
         .iter()
-        .map(|((id, task), e)| Parcel {
-            parcel: format!("{}/{task}", c.jobs[id].spec.uid),
+        .map(|((id, task), e)| TaskReport {
+            task_id: format!("{}/{task}", c.jobs[id].spec.uid),
             attempt: e.attempt,
             status: "running".into(),
             cause: None,
@@ -175,7 +175,7 @@
     c.place(T0 + 2500);
     assert!(commit(&mut c).iter().any(|x| x.path() == "m/n-000300"));
     // When tasks have ended the record fits again, and is written.
-    let left: Vec<Parcel> = on.iter().take(5).cloned().collect();
+    let left: Vec<TaskReport> = on.iter().take(5).cloned().collect();
     c.on_report(&report("n-000231", 6, left), T0 + 3000);
     c.touch(Key::Machine(mid));
     assert!(commit(&mut c).iter().any(|x| x.path() == "m/n-000231"));
@@ -185,7 +185,7 @@
 #[test]
 fn scattered_ranges_are_split_and_read_by_either_version() {
     let mut c = cell(2048);
-    let id = submit(&mut c, "wk-000700", |b| b.parcels = 1500);
+    let id = submit(&mut c, "wk-000700", |b| b.tasks = 1500);
     commit(&mut c);
     for task in (0..1500).step_by(2) {
         c.task_done(id, task);
@@ -226,7 +226,7 @@
 fn what_the_service_refuses_teaches_and_never_stops_the_rest() {
     // The service takes 1,700 bytes, whatever the settings say.
     let mut c = cell(8192);
-    let id = submit(&mut c, "wk-000700", |b| b.parcels = 1500);
+    let id = submit(&mut c, "wk-000700", |b| b.tasks = 1500);
     commit(&mut c);
     for task in (0..1500).step_by(2) {
         c.task_done(id, task);
@@ -267,8 +267,8 @@
     uid: String,
     lot: String,
     owner: String,
-    shape: Shape,
-    precedence: Precedence,
+    shape: JobKind,
+    precedence: Priority,
     parcels: u64,
     cpus: f64,
     cards: f64,
@@ -340,14 +340,14 @@
     let id = c.jobs.id("wk-000412").expect("known");
     let mid = c.machines.id("n-000231").expect("known");
     let attempt = c.machines[&mid].entries.values().map(|e| e.attempt).max().expect("some");
-    let ends = |task: u32| Parcel {
-        parcel: format!("wk-000412/{task}"),
+    let ends = |task: u32| TaskReport {
+        task_id: format!("wk-000412/{task}"),
         attempt: c.machines[&mid].entries[&(id, task)].attempt,
         status: "ended".into(),
         cause: Some("done".into()),
         kept: false,
     };
-    let over: Vec<Parcel> = (1..41).step_by(2).map(ends).collect();
+    let over: Vec<TaskReport> = (1..41).step_by(2).map(ends).collect();
     let Taken::Answer(_) = c.on_report(&report("n-000231", 5, over), T0 + 900) else {
         panic!("not taken")
     };
--- a/crates/fairness/src/lib.rs
+++ b/crates/fairness/src/lib.rs
@@ -27,4 +27,4 @@
 pub struct Job(pub u64);
 
 /// Whose a job is and of which class: what service is counted by.
-pub type Pair = (Team, Class);
+pub type TeamClass = (Team, Class);
--- a/crates/fairness/src/room.rs
+++ b/crates/fairness/src/room.rs
@@ -6,22 +6,22 @@
 
 /// Room for the tasks of open jobs.
 #[derive(Debug, Clone, Copy)]
-pub struct Room {
+pub struct TaskCapacity {
     /// Tasks that fit at most.
-    pub most: u64,
+    pub max_tasks: u64,
     pub teams: u64,
 }
 
-impl Room {
+impl TaskCapacity {
     /// What every team has for itself.
-    pub fn own(&self) -> u64 {
-        self.most / KEPT / self.teams.max(1)
+    pub fn reserved_per_team(&self) -> u64 {
+        self.max_tasks / KEPT / self.teams.max(1)
     }
 
     /// Do `more` tasks of a team fit, of which so many are open, and so many of all teams together?
-    pub fn takes(&self, all: u64, team: u64, more: u64) -> bool {
+    pub fn can_admit(&self, all: u64, team: u64, more: u64) -> bool {
         let sum = all.saturating_add(more);
-        let lent = self.most - self.most / KEPT;
-        sum <= lent || (sum <= self.most && team.saturating_add(more) <= self.own())
+        let lent = self.max_tasks - self.max_tasks / KEPT;
+        sum <= lent || (sum <= self.max_tasks && team.saturating_add(more) <= self.reserved_per_team())
     }
 }
--- a/crates/fairness/src/shares.rs
+++ b/crates/fairness/src/shares.rs
@@ -5,16 +5,16 @@
 
 /// One that wants something.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Want {
+pub struct WeightedDemand {
     pub amount: f64,
     pub weight: f64,
 }
 
 /// Fills all of them evenly, by weight, until each has what it wants or nothing is left: in order of how
 /// soon they are full.
-pub fn max_min(wants: &[Want], capacity: f64) -> Vec<f64> {
+pub fn weighted_max_min(wants: &[WeightedDemand], capacity: f64) -> Vec<f64> {
     let sane = |x: f64| if x.is_finite() { x.max(0.0) } else { 0.0 };
-    let level = |w: &Want| sane(w.amount) / sane(w.weight).max(1e-9);
+    let level = |w: &WeightedDemand| sane(w.amount) / sane(w.weight).max(1e-9);
     let mut order: Vec<usize> = (0..wants.len()).collect();
     order.sort_by(|a, b| level(&wants[*a]).total_cmp(&level(&wants[*b])));
     let mut weight: f64 = wants.iter().map(|w| sane(w.weight).max(1e-9)).sum();
--- a/crates/fairness/tests/service.rs
+++ b/crates/fairness/tests/service.rs
@@ -1,11 +1,11 @@
 //! The ledger against a plain recount, what a successor makes of it, and that nobody starves by the order
 //! that follows from it: random schedules against shares worked out plainly.
 
-use copperhaven_fairness::ledger::{NEGLECTED, Service};
-use copperhaven_fairness::need::{Claim, FLOOR, Need, Needs, Place, order};
-use copperhaven_fairness::room::Room;
-use copperhaven_fairness::shares::{Want, max_min};
-use copperhaven_fairness::{Class, Job, Pair, Team};
+use copperhaven_fairness::ledger::{LATE_FRACTION, FairnessLedger};
+use copperhaven_fairness::need::{TeamDemand, MIN_SERVED_SHARE, DeficitLevel, Deficits, QueueEntry, order_by_deficit};
+use copperhaven_fairness::room::TaskCapacity;
+use copperhaven_fairness::shares::{WeightedDemand, weighted_max_min};
+use copperhaven_fairness::{Class, Job, TeamClass, Team};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -48,12 +48,12 @@
 
     #[test]
     fn rows_agree_with_a_recount(events in proptest::collection::vec(event(), 1..120)) {
-        let mut s = Service::default();
+        let mut s = FairnessLedger::default();
         let mut now = 1000;
-        let mut plain: BTreeMap<Pair, Plain> = BTreeMap::new();
-        let mut open: Vec<(Job, Pair, u64)> = vec![];
+        let mut plain: BTreeMap<TeamClass, Plain> = BTreeMap::new();
+        let mut open: Vec<(Job, TeamClass, u64)> = vec![];
         let mut next = 0;
-        let pick = |open: &mut Vec<(Job, Pair, u64)>, i: usize| {
+        let pick = |open: &mut Vec<(Job, TeamClass, u64)>, i: usize| {
             (!open.is_empty()).then(|| open.swap_remove(i % open.len()))
         };
         for e in events {
@@ -61,42 +61,42 @@
                 Event::Take(t, c) => {
                     let pair = (Team(t), Class(c));
                     next += 1;
-                    s.taken(pair);
-                    s.opened(Job(next), pair, now as i64, AIM);
+                    s.job_accepted(pair);
+                    s.job_opened(Job(next), pair, now as i64, AIM);
                     open.push((Job(next), pair, now));
                     plain.entry(pair).or_default().taken += 1;
                 }
                 Event::Done(i) => if let Some((job, pair, _)) = pick(&mut open, i) {
-                    s.done(job);
+                    s.job_done(job);
                     // Told twice, it counts once.
-                    s.done(job);
+                    s.job_done(job);
                     plain.entry(pair).or_default().done += 1;
                 },
                 Event::Cancel(i) => if let Some((job, pair, _)) = pick(&mut open, i) {
-                    s.cancelled(job, pair);
+                    s.job_cancelled(job, pair);
                     plain.entry(pair).or_default().cancelled += 1;
                 },
                 Event::Park(i) => if let Some((job, ..)) = pick(&mut open, i) {
-                    s.forget(job);
+                    s.remove_job(job);
                 },
-                Event::Stop(t, c, lost) => s.stopped((Team(t), Class(c)), lost),
+                Event::Stop(t, c, lost) => s.task_preempted((Team(t), Class(c)), lost),
                 Event::Pass(ms) => {
                     now += ms;
-                    s.pass(now, 0, |_| false);
+                    s.advance_time(now, 0, |_| false);
                 }
             }
         }
-        s.pass(now, 0, |_| false);
+        s.advance_time(now, 0, |_| false);
         for (_, pair, since) in &open {
             let p = plain.entry(*pair).or_default();
             p.open += 1;
-            p.late += u32::from(since + (AIM as f64 * NEGLECTED) as u64 <= now);
+            p.late += u32::from(since + (AIM as f64 * LATE_FRACTION) as u64 <= now);
         }
-        let row = |r: &copperhaven_fairness::ledger::Row| Plain {
-            taken: r.taken, done: r.done, cancelled: r.cancelled, open: r.open, late: r.late,
+        let row = |r: &copperhaven_fairness::ledger::FairnessCounters| Plain {
+            taken: r.accepted, done: r.done, cancelled: r.cancelled, open: r.open, late: r.late,
         };
         for (pair, p) in &plain {
-            prop_assert_eq!(row(s.pair(*pair).expect("counted")), *p);
+            prop_assert_eq!(row(s.team_class(*pair).expect("counted")), *p);
         }
         let counted = s.recount();
         for (pair, p) in plain.iter().filter(|(_, p)| p.open > 0) {
@@ -106,25 +106,25 @@
         for t in 0..3 {
             let sum: u64 = plain.iter().filter(|((team, _), _)| team.0 == t).map(|(_, p)| p.done).sum();
             prop_assert_eq!(s.team(Team(t)).map_or(0, |r| r.done), sum);
-            let stopped: f64 = s.pairs().filter(|((team, _), _)| team.0 == t).map(|(_, r)| r.lost_s).sum();
-            prop_assert!((s.team(Team(t)).map_or(0.0, |r| r.lost_s) - stopped).abs() < 1e-6);
+            let stopped: f64 = s.team_classes().filter(|((team, _), _)| team.0 == t).map(|(_, r)| r.lost_cpu_s).sum();
+            prop_assert!((s.team(Team(t)).map_or(0.0, |r| r.lost_cpu_s) - stopped).abs() < 1e-6);
         }
         // A successor that goes on from what is carried, and from the open jobs' own records, has the
         // same needs: deficits outlive a leader.
-        let carried = s.carry(|(t, c)| (t.0.to_string(), c.0.to_string()));
-        let mut heir = Service::default();
+        let carried = s.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
+        let mut heir = FairnessLedger::default();
         for row in &carried {
-            let pair = (Team(row.t.parse().unwrap()), Class(row.c.parse().unwrap()));
-            heir.resume(pair, row, now);
+            let pair = (Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap()));
+            heir.restore(pair, row, now);
         }
         for (job, pair, since) in &open {
-            heir.opened(*job, *pair, *since as i64, AIM);
+            heir.job_opened(*job, *pair, *since as i64, AIM);
         }
-        heir.pass(now, 0, |_| false);
-        for (pair, r) in s.pairs() {
-            let h = heir.pair(pair).expect("carried");
+        heir.advance_time(now, 0, |_| false);
+        for (pair, r) in s.team_classes() {
+            let h = heir.team_class(pair).expect("carried");
             prop_assert_eq!(row(h), row(r));
-            prop_assert!((h.share(now) - r.share(now)).abs() < 0.01);
+            prop_assert!((h.served_share(now) - r.served_share(now)).abs() < 0.01);
         }
     }
 }
@@ -141,7 +141,7 @@
 /// From `heir_at` on, a successor serves that knows what was carried and what is open.
 fn serve(streams: &[Stream], steps: u64, by_need: bool, heir_at: u64) -> Vec<(u64, u64)> {
     const STEP: u64 = 1000;
-    let mut s = Service::default();
+    let mut s = FairnessLedger::default();
     let mut waiting: Vec<std::collections::VecDeque<(Job, u64)>> =
         vec![Default::default(); streams.len()];
     let mut out = vec![(0, 0); streams.len()];
@@ -150,47 +150,47 @@
     for step in 0..steps {
         let now = 1000 + step * STEP;
         if step == heir_at {
-            let carried = s.carry(|(t, c)| (t.0.to_string(), c.0.to_string()));
-            s = Service::default();
+            let carried = s.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
+            s = FairnessLedger::default();
             for row in &carried {
-                s.resume((Team(row.t.parse().unwrap()), Class(row.c.parse().unwrap())), row, now);
+                s.restore((Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap())), row, now);
             }
             for (i, jobs) in waiting.iter().enumerate() {
-                jobs.iter().for_each(|(job, since)| s.opened(*job, pair(i), *since as i64, AIM));
+                jobs.iter().for_each(|(job, since)| s.job_opened(*job, pair(i), *since as i64, AIM));
             }
         }
         for (i, stream) in streams.iter().enumerate() {
             if step.is_multiple_of(stream.every) {
                 next += 1;
-                s.taken(pair(i));
-                s.opened(Job(next), pair(i), now as i64, AIM);
+                s.job_accepted(pair(i));
+                s.job_opened(Job(next), pair(i), now as i64, AIM);
                 waiting[i].push_back((Job(next), now));
                 out[i].0 += 1;
             }
         }
-        s.pass(now, 0, |_| false);
-        let mut claims: BTreeMap<Team, Claim> = BTreeMap::new();
+        s.advance_time(now, 0, |_| false);
+        let mut claims: BTreeMap<Team, TeamDemand> = BTreeMap::new();
         let mut places = vec![];
         for (i, jobs) in waiting.iter().enumerate().filter(|(_, w)| !w.is_empty()) {
             let claim = claims.entry(pair(i).0).or_default();
             claim.weight = 1.0;
-            claim.waits += jobs.len() as f64;
+            claim.waiting_cpus += jobs.len() as f64;
             for (job, _) in jobs {
-                places.push(Place {
-                    pair: pair(i),
+                places.push(QueueEntry {
+                    team_class: pair(i),
                     rank: (streams[i].rank, *job),
                     cpus: 1.0,
-                    what: i,
+                    item: i,
                 });
             }
         }
-        let needs = if by_need { s.needs(&claims, 1.0) } else { Needs::default() };
-        order(&mut places, &needs);
-        if let Some(i) = places.first().map(|p| p.what)
+        let needs = if by_need { s.compute_deficits(&claims, 1.0) } else { Deficits::default() };
+        order_by_deficit(&mut places, &needs);
+        if let Some(i) = places.first().map(|p| p.item)
             && let Some((job, _)) = waiting[i].pop_front()
         {
-            s.useful(pair(i), 1.0);
-            s.done(job);
+            s.task_completed(pair(i), 1.0);
+            s.job_done(job);
             out[i].1 += 1;
         }
     }
@@ -199,7 +199,7 @@
 
 /// Max-min by steps of a thousandth, independent of the closed form: whoever has least for its weight and
 /// wants more gets the next bit.
-fn by_steps(wants: &[Want], capacity: f64) -> Vec<f64> {
+fn by_steps(wants: &[WeightedDemand], capacity: f64) -> Vec<f64> {
     let mut got = vec![0.0; wants.len()];
     let step = capacity / 20_000.0;
     for _ in 0..20_000 {
@@ -224,8 +224,8 @@
         wants in proptest::collection::vec((0.0..100.0f64, 0.1..10.0f64), 1..8),
         capacity in 1.0..300.0f64,
     ) {
-        let wants: Vec<Want> = wants.into_iter().map(|(amount, weight)| Want { amount, weight }).collect();
-        let got = max_min(&wants, capacity);
+        let wants: Vec<WeightedDemand> = wants.into_iter().map(|(amount, weight)| WeightedDemand { amount, weight }).collect();
+        let got = weighted_max_min(&wants, capacity);
         for (i, (a, b)) in got.iter().zip(by_steps(&wants, capacity)).enumerate() {
             prop_assert!((a - b).abs() <= capacity / 500.0, "{i}: {a} {b}");
         }
@@ -240,12 +240,12 @@
         asks in proptest::collection::vec((0..4usize, 1..400u64), 1..80),
         most in 400..2000u64,
     ) {
-        let room = Room { most, teams: 4 };
+        let room = TaskCapacity { max_tasks: most, teams: 4 };
         let mut open = [0u64; 4];
         for (team, more) in asks {
             let all = open.iter().sum();
-            let takes = room.takes(all, open[team], more);
-            prop_assert!(takes || open[team] + more > room.own());
+            let takes = room.can_admit(all, open[team], more);
+            prop_assert!(takes || open[team] + more > room.reserved_per_team());
             prop_assert!(takes || all > 0 || more > most - most / 4, "an empty room takes a large one");
             if takes {
                 open[team] += more;
@@ -269,8 +269,8 @@
             let own = streams.iter().zip(&out).filter(|(s, _)| s.team == t);
             own.map(|(_, o)| o.0 as f64).sum()
         };
-        let wants: Vec<Want> = (0..3).map(|t| Want { amount: offered(t), weight: 1.0 }).collect();
-        let fair = max_min(&wants, steps as f64);
+        let wants: Vec<WeightedDemand> = (0..3).map(|t| WeightedDemand { amount: offered(t), weight: 1.0 }).collect();
+        let fair = weighted_max_min(&wants, steps as f64);
         for (i, (of, served)) in out.iter().enumerate() {
             let team = streams[i].team;
             let share = fair[team as usize] * *of as f64 / offered(team).max(1.0);
@@ -324,32 +324,32 @@
     ];
     let pairs = [(Team(0), Class(0)), (Team(1), Class(0)), (Team(0), Class(1))];
     for (i, (sides, classes, teams)) in cases.into_iter().enumerate() {
-        let mut s = Service::default();
+        let mut s = FairnessLedger::default();
         let mut job = 0;
         for (pair, (done, late)) in pairs.iter().zip(sides) {
             for n in 0..done + late {
                 job += 1;
-                s.opened(Job(job), *pair, 0, AIM);
+                s.job_opened(Job(job), *pair, 0, AIM);
                 if n < done {
-                    s.done(Job(job));
+                    s.job_done(Job(job));
                 }
             }
         }
-        s.pass(AIM, 0, |_| false);
-        let want = Claim { uses: 10.0, waits: 100.0, weight: 1.0 };
+        s.advance_time(AIM, 0, |_| false);
+        let want = TeamDemand { used_cpus: 10.0, waiting_cpus: 100.0, weight: 1.0 };
         let claims = [0, 1, 9].map(|t| (Team(t), want)).into();
-        let needs = s.needs(&claims, 90.0);
-        assert_eq!(pairs.map(|p| needs.class(p).is_some()), classes, "case {i}");
-        assert_eq!([0, 1].map(|t| needs.team(Team(t))), teams, "case {i}");
-        assert_eq!((needs.any(), s.is_short()), (classes.contains(&true), classes.contains(&true)));
+        let needs = s.compute_deficits(&claims, 90.0);
+        assert_eq!(pairs.map(|p| needs.class_deficit(p).is_underserved()), classes, "case {i}");
+        assert_eq!([0, 1].map(|t| needs.is_team_underserved(Team(t))), teams, "case {i}");
+        assert_eq!((needs.has_any(), s.has_underserved()), (classes.contains(&true), classes.contains(&true)));
         // Whoever has no weight, or no claim, goes before nobody.
-        let guests = claims.keys().map(|t| (*t, Claim { weight: 0.0, ..want })).collect();
-        assert!(!s.needs(&guests, 90.0).team(Team(0)));
-        assert!(!s.needs(&BTreeMap::new(), 90.0).team(Team(0)));
+        let guests = claims.keys().map(|t| (*t, TeamDemand { weight: 0.0, ..want })).collect();
+        assert!(!s.compute_deficits(&guests, 90.0).is_team_underserved(Team(0)));
+        assert!(!s.compute_deficits(&BTreeMap::new(), 90.0).is_team_underserved(Team(0)));
         // Nor does whoever has its share.
-        assert!(!s.needs(&claims, 30.0).team(Team(0)));
+        assert!(!s.compute_deficits(&claims, 30.0).is_team_underserved(Team(0)));
     }
-    assert!(Need::of(0.1) < Need::of(0.5) && Need::of(0.5) < Need::of(FLOOR));
+    assert!(DeficitLevel::from_share(0.1) < DeficitLevel::from_share(0.5) && DeficitLevel::from_share(0.5) < DeficitLevel::from_share(MIN_SERVED_SHARE));
 }
 
 #[test]
@@ -365,24 +365,24 @@
         (200_000.0, 5_000.0, 0.05, true),
         (f64::NAN, 2_100.0, 0.02, false),
     ] {
-        let mut s = Service::default();
-        s.useful(pair, done);
-        s.stopped(pair, lost);
-        assert_eq!(s.may_lose(Class(0), part), may, "{done} {lost} {part}");
-        assert!(s.may_lose(Class(1), part), "another class lost nothing");
+        let mut s = FairnessLedger::default();
+        s.task_completed(pair, done);
+        s.task_preempted(pair, lost);
+        assert_eq!(s.can_lose_work(Class(0), part), may, "{done} {lost} {part}");
+        assert!(s.can_lose_work(Class(1), part), "another class lost nothing");
     }
 }
 
 #[test]
 fn what_fails_everywhere_is_nobodys_neglect() {
-    let mut s = Service::default();
+    let mut s = FairnessLedger::default();
     let pair = (Team(0), Class(0));
-    s.opened(Job(1), pair, 0, AIM);
-    s.pass(AIM, 5_000, |_| true);
-    assert_eq!(s.pair(pair).map(|r| (r.open, r.late)), Some((1, 0)));
-    s.pass(AIM + 5_000, 5_000, |_| false);
-    assert_eq!(s.pair(pair).map(|r| (r.open, r.late)), Some((1, 1)));
-    s.done(Job(1));
-    assert_eq!(s.pair(pair).map(|r| (r.open, r.late, r.done)), Some((0, 0, 1)));
+    s.job_opened(Job(1), pair, 0, AIM);
+    s.advance_time(AIM, 5_000, |_| true);
+    assert_eq!(s.team_class(pair).map(|r| (r.open, r.late)), Some((1, 0)));
+    s.advance_time(AIM + 5_000, 5_000, |_| false);
+    assert_eq!(s.team_class(pair).map(|r| (r.open, r.late)), Some((1, 1)));
+    s.job_done(Job(1));
+    assert_eq!(s.team_class(pair).map(|r| (r.open, r.late, r.done)), Some((0, 0, 1)));
     assert!(s.slowdown(Class(0), 0.5).is_some_and(|x| (x - 1.25).abs() < 0.05));
 }
--- a/crates/reach/src/link.rs
+++ b/crates/reach/src/link.rs
@@ -4,7 +4,7 @@
 
 /// Can it be reached?
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub enum Reach {
+pub enum Reachability {
     /// Asked in vain: more than once, or once and long since it last answered.
     Down,
     /// Nobody asked, or not lately. Silence proves nothing.
@@ -46,7 +46,7 @@
 
     /// A request sent at `sent` was answered by `now`. An answer to an older request than one that
     /// was answered already says nothing new.
-    pub fn answered(&mut self, sent: u64, now: u64) {
+    pub fn record_answer(&mut self, sent: u64, now: u64) {
         let took = now.saturating_sub(sent);
         self.took.saturating_record(took.max(1));
         self.mean_ms += LAST * (took as f64 - self.mean_ms);
@@ -58,29 +58,29 @@
 
     /// A request sent at `sent` failed, or was not answered in time. One that was sent before the
     /// last that was answered says nothing.
-    pub fn failed(&mut self, sent: u64) {
+    pub fn record_failure(&mut self, sent: u64) {
         if self.answered.is_none_or(|at| sent > at) {
             self.failures = self.failures.saturating_add(1);
         }
     }
 
-    pub fn reach(&self, now: u64) -> Reach {
+    pub fn reachability(&self, now: u64) -> Reachability {
         let fresh = self.answered.is_some_and(|at| now < at + self.lasts_ms);
         match self.failures {
-            n if n >= FAILURES || (n > 0 && !fresh) => Reach::Down,
-            _ if !fresh => Reach::Unknown,
-            _ if self.mean_ms > SLOW_MS => Reach::Slow,
-            _ => Reach::Up,
+            n if n >= FAILURES || (n > 0 && !fresh) => Reachability::Down,
+            _ if !fresh => Reachability::Unknown,
+            _ if self.mean_ms > SLOW_MS => Reachability::Slow,
+            _ => Reachability::Up,
         }
     }
 
     /// When the last request that was answered was sent.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_answered_sent_at(&self) -> Option<u64> {
         self.answered
     }
 
     /// Milliseconds that this part of all answers took at most; none: there was no answer.
-    pub fn quantile(&self, q: f64) -> Option<u64> {
+    pub fn latency_quantile_ms(&self, q: f64) -> Option<u64> {
         (!self.took.is_empty()).then(|| self.took.value_at_quantile(q))
     }
 }
--- a/crates/recovery/src/phase.rs
+++ b/crates/recovery/src/phase.rs
@@ -37,10 +37,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed {
     pub zone: Zone,
-    pub recorded: u32,
-    pub unheard: u32,
+    pub recorded_machines: u32,
+    pub unreported_machines: u32,
     /// From the start of the takeover.
-    pub took_ms: u64,
+    pub elapsed_ms: u64,
 }
 
 #[derive(Debug, Default)]
@@ -83,12 +83,12 @@
     }
 
     /// The term was won then, before anything was read.
-    pub fn since(&mut self, won: u64) {
+    pub fn set_started_at(&mut self, won: u64) {
         self.begun = won;
     }
 
     /// All records are read; these machines are on record.
-    pub fn read(&mut self, machines: impl IntoIterator<Item = (Machine, Zone)>, now: u64) {
+    pub fn records_loaded(&mut self, machines: impl IntoIterator<Item = (Machine, Zone)>, now: u64) {
         self.read = Some(now);
         self.at = now;
         for (machine, zone) in machines {
@@ -103,12 +103,12 @@
     }
 
     /// A machine is gone for certain: it is waited for no longer.
-    pub fn gone(&mut self, machine: Machine) {
-        self.settled(machine, self.at);
+    pub fn machine_gone(&mut self, machine: Machine) {
+        self.machine_reported(machine, self.at);
     }
 
     /// A machine has reported under this term: it is waited for no longer.
-    pub fn settled(&mut self, machine: Machine, now: u64) {
+    pub fn machine_reported(&mut self, machine: Machine, now: u64) {
         let Some(zone) = self.unheard.remove(&machine) else { return };
         let Some(z) = self.zones.get_mut(&zone) else { return };
         z.unheard = z.unheard.saturating_sub(1);
@@ -122,7 +122,7 @@
         z.closed = true;
         let (recorded, unheard) = (z.recorded, z.unheard);
         let took_ms = now.saturating_sub(self.begun);
-        self.closed.push(Closed { zone, recorded, unheard, took_ms });
+        self.closed.push(Closed { zone, recorded_machines: recorded, unreported_machines: unheard, elapsed_ms: took_ms });
         if self.zones.values().all(|z| z.closed) {
             self.served = Some(now);
         }
@@ -134,7 +134,7 @@
     }
 
     /// Time passes; zones that have closed since the last call.
-    pub fn pass(&mut self, now: u64) -> Vec<Closed> {
+    pub fn advance_time(&mut self, now: u64) -> Vec<Closed> {
         self.at = now;
         if self.bound().is_some_and(|bound| now >= bound) {
             let open: Vec<Zone> =
@@ -154,12 +154,12 @@
 
     /// Does what is on record of this machine still count as there, though it was not heard? Not beyond the
     /// bound: then it is as good as dead, for what is planned.
-    pub fn expects(&self, machine: Machine, now: u64) -> bool {
+    pub fn is_report_expected(&self, machine: Machine, now: u64) -> bool {
         self.bound().is_some_and(|bound| now < bound) && self.unheard.contains_key(&machine)
     }
 
     /// Machines that are waited for.
-    pub fn unheard(&self) -> usize {
+    pub fn unreported_count(&self) -> usize {
         self.unheard.len()
     }
 
@@ -182,44 +182,44 @@
     fn a_zone_is_served_when_its_own_machines_were_heard_and_waits_for_no_other() {
         let mut r = Recovery::begin(1_000, 4_000);
         assert_eq!(r.phase(), Phase::Reading);
-        assert!(!r.expects(Machine(0), 1_000), "nothing is known before it is read");
-        r.read(fleet(20), 1_500);
+        assert!(!r.is_report_expected(Machine(0), 1_000), "nothing is known before it is read");
+        r.records_loaded(fleet(20), 1_500);
         for i in (0..20).step_by(2) {
-            assert!(r.expects(Machine(i), 2_000));
-            r.settled(Machine(i), 2_000);
-            r.settled(Machine(i), 2_000);
+            assert!(r.is_report_expected(Machine(i), 2_000));
+            r.machine_reported(Machine(i), 2_000);
+            r.machine_reported(Machine(i), 2_000);
         }
-        let closed = r.pass(2_000);
-        assert_eq!(closed, [Closed { zone: Zone(0), recorded: 10, unheard: 0, took_ms: 1_000 }]);
-        assert_eq!((r.phase(), r.unheard()), (Phase::Hearing, 10));
-        assert!(r.expects(Machine(1), 2_000) && !r.expects(Machine(0), 2_000));
+        let closed = r.advance_time(2_000);
+        assert_eq!(closed, [Closed { zone: Zone(0), recorded_machines: 10, unreported_machines: 0, elapsed_ms: 1_000 }]);
+        assert_eq!((r.phase(), r.unreported_count()), (Phase::Hearing, 10));
+        assert!(r.is_report_expected(Machine(1), 2_000) && !r.is_report_expected(Machine(0), 2_000));
     }
 
     #[test]
     fn hearing_is_over_at_its_bound_whoever_is_missing() {
         let mut r = Recovery::begin(0, 4_000);
-        r.read(fleet(20), 500);
+        r.records_loaded(fleet(20), 500);
         let bound = r.bound().expect("read");
         assert_eq!(bound, 500 + 5_000 + 4_000 + 1_000);
-        assert_eq!(r.pass(bound - 1), []);
-        assert!(r.expects(Machine(3), bound - 1));
-        assert_eq!(r.pass(bound).len(), 2);
-        assert_eq!((r.phase(), r.pass(bound + 1)), (Phase::Serving, vec![]));
-        assert!(!r.expects(Machine(3), bound), "as good as dead");
+        assert_eq!(r.advance_time(bound - 1), []);
+        assert!(r.is_report_expected(Machine(3), bound - 1));
+        assert_eq!(r.advance_time(bound).len(), 2);
+        assert_eq!((r.phase(), r.advance_time(bound + 1)), (Phase::Serving, vec![]));
+        assert!(!r.is_report_expected(Machine(3), bound), "as good as dead");
         assert_eq!(r.took(), (Some(500), Some(bound)));
     }
 
     #[test]
     fn a_few_dead_machines_of_many_hold_nothing_up_and_none_is_there_at_once() {
         let mut r = Recovery::begin(0, 4_000);
-        r.read((0..100).map(|i| (Machine(i), Zone(0))), 100);
-        (0..97).for_each(|i| r.settled(Machine(i), 900));
+        r.records_loaded((0..100).map(|i| (Machine(i), Zone(0))), 100);
+        (0..97).for_each(|i| r.machine_reported(Machine(i), 900));
         assert_eq!(r.phase(), Phase::Hearing);
-        r.settled(Machine(97), 950);
+        r.machine_reported(Machine(97), 950);
         assert_eq!(r.phase(), Phase::Serving, "two of a hundred are missing");
-        assert!(r.expects(Machine(98), 1_000), "their places still count until the bound");
+        assert!(r.is_report_expected(Machine(98), 1_000), "their places still count until the bound");
         let mut none = Recovery::begin(0, 4_000);
-        none.read([], 100);
+        none.records_loaded([], 100);
         assert_eq!(none.phase(), Phase::Serving, "the very first start");
     }
 }
--- a/crates/recovery/src/square.rs
+++ b/crates/recovery/src/square.rs
@@ -6,27 +6,27 @@
 
 /// A task, as the record of a machine and its first report of this term have it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pair {
+pub struct TaskComparison {
     /// The attempt on record.
     pub recorded: Option<u64>,
-    pub reported: Option<Reported>,
+    pub reported: Option<ReportedTask>,
     /// Its job is open: accepted, neither over nor cancelled.
-    pub open: bool,
+    pub job_open: bool,
     /// It is done by the records.
-    pub done: bool,
+    pub recorded_done: bool,
 }
 
 /// What a report says of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reported {
+pub struct ReportedTask {
     pub attempt: u64,
-    pub state: State,
+    pub state: ReportedState,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum ReportedState {
     /// On the machine, in whatever way.
-    There,
+    Present,
     /// Ended as done.
     Done,
     /// Ended otherwise.
@@ -37,27 +37,27 @@
     ($($row:ident: $name:literal, $proves:literal, $done:literal;)*) => {
         /// A difference, or none. The order is that in which they are told.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Row { $(
+        pub enum ReconcileOutcome { $(
             #[doc = $proves]
             $row,
         )* }
 
-        impl Row {
-            pub const ALL: &[Row] = &[$(Row::$row),*];
+        impl ReconcileOutcome {
+            pub const ALL: &[ReconcileOutcome] = &[$(ReconcileOutcome::$row),*];
 
             /// As logs and metrics name it.
             pub fn name(self) -> &'static str {
-                match self { $(Row::$row => $name,)* }
+                match self { $(ReconcileOutcome::$row => $name,)* }
             }
 
             /// What it proves.
             pub fn proves(self) -> &'static str {
-                match self { $(Row::$row => $proves,)* }
+                match self { $(ReconcileOutcome::$row => $proves,)* }
             }
 
             /// What is done.
             pub fn follows(self) -> &'static str {
-                match self { $(Row::$row => $done,)* }
+                match self { $(ReconcileOutcome::$row => $done,)* }
             }
         }
     };
@@ -72,45 +72,45 @@
     DoneTwice: "done, and there again", "It is done by the records and is on a machine: started again by a leader that could not read that.", "It counts until it has left, and is stopped.";
     NotOnRecord: "not on record", "A task of an open job that no list of this machine has.", "It counts while it is there, and is stopped.";
     JobOver: "of a job that is over", "Its job is over, cancelled or unknown.", "It is stopped; an end of it is forgotten.";
-    Unheard: "not heard", "Nothing: its machine has not reported.", "It counts as there until the machine's lease has surely run out.";
+    MachineUnreported: "not heard", "Nothing: its machine has not reported.", "It counts as there until the machine's lease has surely run out.";
 }
 
 /// The row of a task of a machine that has reported under this term. None: nothing was there and nothing is.
-pub fn square(p: Pair) -> Option<Row> {
+pub fn reconcile(p: TaskComparison) -> Option<ReconcileOutcome> {
     let row = match (p.recorded, p.reported) {
         (None, None) => return None,
-        (Some(_), None) => Row::Absent,
-        (_, Some(_)) if !p.open => Row::JobOver,
-        (_, Some(Reported { state: State::Done, .. })) => Row::DoneMeanwhile,
-        (None, Some(Reported { state: State::Ended, .. })) => Row::JobOver,
-        (Some(_), Some(Reported { state: State::Ended, .. })) => Row::EndedMeanwhile,
-        (_, Some(Reported { state: State::There, .. })) if p.done => Row::DoneTwice,
-        (None, Some(Reported { state: State::There, .. })) => Row::NotOnRecord,
-        (Some(a), Some(r)) if a != r.attempt => Row::OtherAttempt,
-        (Some(_), Some(_)) => Row::GoneOn,
+        (Some(_), None) => ReconcileOutcome::Absent,
+        (_, Some(_)) if !p.job_open => ReconcileOutcome::JobOver,
+        (_, Some(ReportedTask { state: ReportedState::Done, .. })) => ReconcileOutcome::DoneMeanwhile,
+        (None, Some(ReportedTask { state: ReportedState::Ended, .. })) => ReconcileOutcome::JobOver,
+        (Some(_), Some(ReportedTask { state: ReportedState::Ended, .. })) => ReconcileOutcome::EndedMeanwhile,
+        (_, Some(ReportedTask { state: ReportedState::Present, .. })) if p.recorded_done => ReconcileOutcome::DoneTwice,
+        (None, Some(ReportedTask { state: ReportedState::Present, .. })) => ReconcileOutcome::NotOnRecord,
+        (Some(a), Some(r)) if a != r.attempt => ReconcileOutcome::OtherAttempt,
+        (Some(_), Some(_)) => ReconcileOutcome::GoneOn,
     };
     Some(row)
 }
 
 /// How often each row was met.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Counts([u64; Row::ALL.len()]);
+pub struct OutcomeCounts([u64; ReconcileOutcome::ALL.len()]);
 
-impl Counts {
-    pub fn add(&mut self, row: Row, n: u64) {
+impl OutcomeCounts {
+    pub fn add(&mut self, row: ReconcileOutcome, n: u64) {
         self.0[row as usize] += n;
     }
 
-    pub fn of(&self, row: Row) -> u64 {
+    pub fn of(&self, row: ReconcileOutcome) -> u64 {
         self.0[row as usize]
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Row, u64)> + '_ {
-        Row::ALL.iter().map(|row| (*row, self.of(*row)))
+    pub fn iter(&self) -> impl Iterator<Item = (ReconcileOutcome, u64)> + '_ {
+        ReconcileOutcome::ALL.iter().map(|row| (*row, self.of(*row)))
     }
 
     /// In words, without what was not met.
-    pub fn words(&self) -> String {
+    pub fn summary(&self) -> String {
         let met: Vec<String> =
             self.iter().filter(|(_, n)| *n > 0).map(|(r, n)| format!("{n} {}", r.name())).collect();
         if met.is_empty() { "nothing to square".into() } else { met.join(", ") }
@@ -123,45 +123,45 @@
 
     #[test]
     fn every_case_has_one_row_and_every_row_a_case() {
-        let there = |attempt| Some(Reported { attempt, state: State::There });
-        let done = Some(Reported { attempt: 7, state: State::Done });
-        let ended = Some(Reported { attempt: 7, state: State::Ended });
-        let open = |recorded, reported| Pair { recorded, reported, open: true, done: false };
-        let over = |recorded, reported| Pair { open: false, ..open(recorded, reported) };
-        let again = |recorded, reported| Pair { done: true, ..open(recorded, reported) };
+        let there = |attempt| Some(ReportedTask { attempt, state: ReportedState::Present });
+        let done = Some(ReportedTask { attempt: 7, state: ReportedState::Done });
+        let ended = Some(ReportedTask { attempt: 7, state: ReportedState::Ended });
+        let open = |recorded, reported| TaskComparison { recorded, reported, job_open: true, recorded_done: false };
+        let over = |recorded, reported| TaskComparison { job_open: false, ..open(recorded, reported) };
+        let again = |recorded, reported| TaskComparison { recorded_done: true, ..open(recorded, reported) };
         let rows = [
             (open(None, None), None),
-            (open(Some(7), there(7)), Some(Row::GoneOn)),
-            (open(Some(7), done), Some(Row::DoneMeanwhile)),
-            (open(None, done), Some(Row::DoneMeanwhile)),
-            (open(Some(7), ended), Some(Row::EndedMeanwhile)),
-            (open(None, ended), Some(Row::JobOver)),
-            (open(Some(7), None), Some(Row::Absent)),
-            (over(Some(7), None), Some(Row::Absent)),
-            (open(Some(7), there(8)), Some(Row::OtherAttempt)),
-            (open(Some(8), there(7)), Some(Row::OtherAttempt)),
-            (again(Some(7), there(7)), Some(Row::DoneTwice)),
-            (again(None, there(7)), Some(Row::DoneTwice)),
-            (open(None, there(7)), Some(Row::NotOnRecord)),
-            (over(None, there(7)), Some(Row::JobOver)),
-            (over(Some(7), there(7)), Some(Row::JobOver)),
-            (over(Some(7), done), Some(Row::JobOver)),
+            (open(Some(7), there(7)), Some(ReconcileOutcome::GoneOn)),
+            (open(Some(7), done), Some(ReconcileOutcome::DoneMeanwhile)),
+            (open(None, done), Some(ReconcileOutcome::DoneMeanwhile)),
+            (open(Some(7), ended), Some(ReconcileOutcome::EndedMeanwhile)),
+            (open(None, ended), Some(ReconcileOutcome::JobOver)),
+            (open(Some(7), None), Some(ReconcileOutcome::Absent)),
+            (over(Some(7), None), Some(ReconcileOutcome::Absent)),
+            (open(Some(7), there(8)), Some(ReconcileOutcome::OtherAttempt)),
+            (open(Some(8), there(7)), Some(ReconcileOutcome::OtherAttempt)),
+            (again(Some(7), there(7)), Some(ReconcileOutcome::DoneTwice)),
+            (again(None, there(7)), Some(ReconcileOutcome::DoneTwice)),
+            (open(None, there(7)), Some(ReconcileOutcome::NotOnRecord)),
+            (over(None, there(7)), Some(ReconcileOutcome::JobOver)),
+            (over(Some(7), there(7)), Some(ReconcileOutcome::JobOver)),
+            (over(Some(7), done), Some(ReconcileOutcome::JobOver)),
         ];
         for (pair, row) in rows {
-            assert_eq!(square(pair), row, "{pair:?}");
+            assert_eq!(reconcile(pair), row, "{pair:?}");
         }
-        for row in Row::ALL.iter().filter(|r| **r != Row::Unheard) {
+        for row in ReconcileOutcome::ALL.iter().filter(|r| **r != ReconcileOutcome::MachineUnreported) {
             assert!(rows.iter().any(|(_, r)| *r == Some(*row)), "{row:?} is never met");
         }
     }
 
     #[test]
     fn counts_are_told_in_words_without_what_was_not_met() {
-        let mut c = Counts::default();
-        assert_eq!(c.words(), "nothing to square");
-        c.add(Row::GoneOn, 3);
-        c.add(Row::Unheard, 1);
-        c.add(Row::GoneOn, 1);
-        assert_eq!((c.words().as_str(), c.of(Row::GoneOn)), ("4 gone on, 1 not heard", 4));
+        let mut c = OutcomeCounts::default();
+        assert_eq!(c.summary(), "nothing to square");
+        c.add(ReconcileOutcome::GoneOn, 3);
+        c.add(ReconcileOutcome::MachineUnreported, 1);
+        c.add(ReconcileOutcome::GoneOn, 1);
+        assert_eq!((c.summary().as_str(), c.of(ReconcileOutcome::GoneOn)), ("4 gone on, 1 not heard", 4));
     }
 }
--- a/crates/rollout/src/can.rs
+++ b/crates/rollout/src/can.rs
@@ -6,13 +6,14 @@
 
 /// `c/can/MEMBER`: what a member's process can, recorded by itself when it starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CanRecord {
+pub struct AbilitiesRecord {
     pub release: u16,
-    pub can: BTreeSet<String>,
+    #[serde(rename = "can")]
+    pub abilities: BTreeSet<String>,
 }
 
-impl CanRecord {
-    pub fn own(release: u16) -> CanRecord {
-        CanRecord { release, can: ABILITIES.iter().map(ToString::to_string).collect() }
+impl AbilitiesRecord {
+    pub fn for_release(release: u16) -> AbilitiesRecord {
+        AbilitiesRecord { release, abilities: ABILITIES.iter().map(ToString::to_string).collect() }
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod next;
 pub mod stages;
 
-pub use can::CanRecord;
-pub use next::{Holds, Next, Wish, next};
-pub use stages::{Row, Stage, StagesRecord};
+pub use can::AbilitiesRecord;
+pub use next::{HoldReason, Transition, AbilityOverrides, next_transition};
+pub use stages::{StageEntry, Stage, StagesRecord};
 
 /// The lists of several machines in one record (`p/N`).
 pub const PACKS: &str = "packs";
@@ -30,26 +30,26 @@
     }
 
     fn at(stage: Option<Stage>, born: bool) -> StagesRecord {
-        let none = StagesRecord { born, ..StagesRecord::default() };
-        stage.map_or(none.clone(), |s| none.with(PACKS, s, 3, vec![]))
+        let none = StagesRecord { born_with_stages: born, ..StagesRecord::default() };
+        stage.map_or(none.clone(), |s| none.with_stage(PACKS, s, 3, vec![]))
     }
 
     #[test]
     fn each_stage_has_one_next_step() {
         let members: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
         let all = ["a", "b", "c"];
-        let cans = |who: &[&str]| -> BTreeMap<String, CanRecord> {
-            who.iter().map(|m| (m.to_string(), CanRecord::own(3))).collect()
+        let cans = |who: &[&str]| -> BTreeMap<String, AbilitiesRecord> {
+            who.iter().map(|m| (m.to_string(), AbilitiesRecord::for_release(3))).collect()
         };
-        let off = Wish { off: set(&[PACKS]), ..Wish::default() };
-        let on = Wish { on: set(&[PACKS]), ..Wish::default() };
-        let gone = Wish { left_out: set(&["c"]), ..Wish::default() };
-        let lone = Wish { left_out: set(&all), ..Wish::default() };
-        let plain = Wish::default();
+        let off = AbilityOverrides { disabled: set(&[PACKS]), ..AbilityOverrides::default() };
+        let on = AbilityOverrides { enabled: set(&[PACKS]), ..AbilityOverrides::default() };
+        let gone = AbilityOverrides { excluded_members: set(&["c"]), ..AbilityOverrides::default() };
+        let lone = AbilityOverrides { excluded_members: set(&all), ..AbilityOverrides::default() };
+        let plain = AbilityOverrides::default();
         let to =
-            |stage, who: &[&str]| Next::Move(stage, who.iter().map(ToString::to_string).collect());
+            |stage, who: &[&str]| Transition::Move(stage, who.iter().map(ToString::to_string).collect());
         let waits = |who: &[&str]| {
-            Next::Hold(Holds::Members(who.iter().map(ToString::to_string).collect()))
+            Transition::Hold(HoldReason::MissingMembers(who.iter().map(ToString::to_string).collect()))
         };
         use Stage::*;
         let rows = [
@@ -57,20 +57,20 @@
             (at(None, true), &plain, &all[..2], false, waits(&["c"])),
             (at(None, true), &gone, &all[..2], false, to(Written, &all[..2])),
             (at(None, true), &lone, &all[..], false, waits(&[])),
-            (at(None, false), &plain, &all[..], false, Next::Hold(Holds::Upgraded)),
+            (at(None, false), &plain, &all[..], false, Transition::Hold(HoldReason::LegacyInstallation)),
             (at(None, false), &on, &all[..], false, to(Written, &all)),
             (at(None, false), &on, &all[..1], false, waits(&["b", "c"])),
-            (at(None, true), &off, &all[..], false, Next::Hold(Holds::Off)),
-            (at(Some(Written), true), &plain, &[][..], true, Next::Hold(Holds::Done)),
+            (at(None, true), &off, &all[..], false, Transition::Hold(HoldReason::Disabled)),
+            (at(Some(Written), true), &plain, &[][..], true, Transition::Hold(HoldReason::Complete)),
             (at(Some(Written), true), &off, &[][..], true, to(Read, &[])),
-            (at(Some(Read), true), &off, &[][..], true, Next::Hold(Holds::Records)),
+            (at(Some(Read), true), &off, &[][..], true, Transition::Hold(HoldReason::RemainingRecords)),
             (at(Some(Read), true), &off, &[][..], false, to(Known, &[])),
             // Wanted again before it was over.
             (at(Some(Read), false), &plain, &all[..], true, to(Written, &all)),
             (at(Some(Read), false), &plain, &all[..1], true, waits(&["b", "c"])),
         ];
         for (i, (stages, wish, who, left, expected)) in rows.into_iter().enumerate() {
-            assert_eq!(next(PACKS, &stages, &members, &cans(who), wish, left), expected, "row {i}");
+            assert_eq!(next_transition(PACKS, &stages, &members, &cans(who), wish, left), expected, "row {i}");
         }
     }
 
@@ -78,7 +78,7 @@
     fn what_is_not_known_keeps_a_release_from_leading_only_where_it_matters() {
         let other = |stage| {
             let mut s = at(None, true);
-            s.stages.insert("shards".into(), Row { stage, term: 1, counted: vec![] });
+            s.stages.insert("shards".into(), StageEntry { stage, term: 1, counted_members: vec![] });
             s
         };
         for (stages, unknown, fences) in [
@@ -91,7 +91,7 @@
             (other(2), Some("shards"), true),
             (other(9), Some("shards"), true),
         ] {
-            assert_eq!((stages.unknown(), stages.fences()), (unknown, fences), "{stages:?}");
+            assert_eq!((stages.unsupported_ability(), stages.requires_fence()), (unknown, fences), "{stages:?}");
         }
     }
 }
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -30,11 +30,12 @@
 
 /// An ability in `c/stages`: its stage, and in which term and with whom counted it got there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct StageEntry {
     pub stage: u8,
     pub term: u64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub counted: Vec<String>,
+    #[serde(rename = "counted")]
+    pub counted_members: Vec<String>,
 }
 
 /// `c/stages`: how far each ability is in use.
@@ -42,9 +43,10 @@
 pub struct StagesRecord {
     /// The installation began with a release that knows stages: no older one ever wrote here.
     #[serde(default)]
-    pub born: bool,
+    #[serde(rename = "born")]
+    pub born_with_stages: bool,
     #[serde(default)]
-    pub stages: BTreeMap<String, Row>,
+    pub stages: BTreeMap<String, StageEntry>,
 }
 
 impl StagesRecord {
@@ -55,8 +57,8 @@
 
     /// An ability whose records may be there and that this release doesn't know, or a stage that it doesn't.
     /// Some: it must not lead.
-    pub fn unknown(&self) -> Option<&str> {
-        let bad = |(name, row): &(&String, &Row)| {
+    pub fn unsupported_ability(&self) -> Option<&str> {
+        let bad = |(name, row): &(&String, &StageEntry)| {
             let known = ABILITIES.contains(&name.as_str());
             Stage::of(row.stage).is_none() || (!known && row.stage != Stage::Known as u8)
         };
@@ -65,12 +67,12 @@
 
     /// Is there anything on record that a release without stages would not see? Then the term is written so that
     /// such a release can't read it, and so can't lead.
-    pub fn fences(&self) -> bool {
+    pub fn requires_fence(&self) -> bool {
         self.stages.values().any(|r| r.stage != Stage::Known as u8)
     }
 
     /// The same with an ability at another stage.
-    pub fn with(
+    pub fn with_stage(
         &self,
         ability: &str,
         stage: Stage,
@@ -78,7 +80,7 @@
         counted: Vec<String>,
     ) -> StagesRecord {
         let mut next = self.clone();
-        next.stages.insert(ability.into(), Row { stage: stage as u8, term, counted });
+        next.stages.insert(ability.into(), StageEntry { stage: stage as u8, term, counted_members: counted });
         next
     }
 }
--- a/crates/rollout/tests/explore.rs
+++ b/crates/rollout/tests/explore.rs
@@ -2,7 +2,7 @@
 //! that knows no stages; a leader that moves stages, writes and takes back; operators who change their minds. Every
 //! order of events to a depth; states met once. The shortest way to a broken property is printed.
 
-use copperhaven_rollout::{CanRecord, Next, PACKS, Stage, StagesRecord, Wish, next};
+use copperhaven_rollout::{AbilitiesRecord, Transition, PACKS, Stage, StagesRecord, AbilityOverrides, next_transition};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -56,9 +56,9 @@
 }
 
 fn stages(w: &World) -> StagesRecord {
-    let none = StagesRecord { born: w.born, ..StagesRecord::default() };
+    let none = StagesRecord { born_with_stages: w.born, ..StagesRecord::default() };
     let stage = [Stage::Known, Stage::Read, Stage::Written][w.stage as usize];
-    none.with(PACKS, stage, 1, vec![])
+    none.with_stage(PACKS, stage, 1, vec![])
 }
 
 fn step(w: &World, e: Event, fault: Fault) -> Option<World> {
@@ -73,8 +73,8 @@
         Event::Elect(i) if w.leader.is_none() => {
             match w.process[i] {
                 Process::Down => return None,
-                Process::Old if stages(w).fences() && fault != Fault::NoFence => return None,
-                Process::New if stages(w).unknown().is_some() => return None,
+                Process::Old if stages(w).requires_fence() && fault != Fault::NoFence => return None,
+                Process::New if stages(w).unsupported_ability().is_some() => return None,
                 _ => {}
             }
             n.leader = Some(i);
@@ -84,21 +84,21 @@
             let leader = w.leader.filter(|l| w.process[*l] == Process::New)?;
             let members: Vec<String> = NAMES.map(String::from).to_vec();
             let counts = |i: usize| w.can[i] || fault == Fault::CountsAll;
-            let cans: BTreeMap<String, CanRecord> = (0..3)
+            let cans: BTreeMap<String, AbilitiesRecord> = (0..3)
                 .filter(|i| counts(*i))
-                .map(|i| (NAMES[i].to_string(), CanRecord::own(3)))
+                .map(|i| (NAMES[i].to_string(), AbilitiesRecord::for_release(3)))
                 .collect();
-            let mut wish = Wish::default();
+            let mut wish = AbilityOverrides::default();
             if w.on {
-                wish.on.insert(PACKS.into());
+                wish.enabled.insert(PACKS.into());
             }
             if w.off {
-                wish.off.insert(PACKS.into());
+                wish.disabled.insert(PACKS.into());
             }
             let left = w.packs && fault != Fault::BackTooEarly;
-            match next(PACKS, &stages(w), &members, &cans, &wish, left) {
-                Next::Move(stage, _) => n.stage = stage as u8,
-                Next::Hold(_) => return None,
+            match next_transition(PACKS, &stages(w), &members, &cans, &wish, left) {
+                Transition::Move(stage, _) => n.stage = stage as u8,
+                Transition::Hold(_) => return None,
             }
             let _ = leader;
         }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -6,25 +6,35 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Report {
-    pub hearth: String,
+    #[serde(rename = "hearth")]
+    pub machine: String,
     pub addr: String,
-    pub berth: String,
-    pub yard: String,
+    #[serde(rename = "berth")]
+    pub machine_type: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     #[serde(default)]
-    pub loaners: bool,
-    pub shift: u64,
-    pub tally: u64,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
+    #[serde(rename = "shift")]
+    pub session: u64,
+    #[serde(rename = "tally")]
+    pub sequence: u64,
     #[serde(default)]
-    pub warrant: u64,
+    #[serde(rename = "warrant")]
+    pub term: u64,
     #[serde(default)]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recallS")]
+    pub reclaim_in_s: Option<f64>,
     #[serde(default)]
-    pub parcels: Vec<Parcel>,
+    #[serde(rename = "parcels")]
+    pub tasks: Vec<TaskReport>,
 }
 
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Parcel {
-    pub parcel: String,
+pub struct TaskReport {
+    #[serde(rename = "parcel")]
+    pub task_id: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: String,
@@ -38,19 +48,22 @@
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
     Run {
-        parcel: String,
+        #[serde(rename = "parcel")]
+        task_id: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
     Halt {
-        parcel: String,
+        #[serde(rename = "parcel")]
+        task_id: String,
         #[serde(rename = "try")]
         attempt: u64,
         #[serde(rename = "windDownS")]
-        wind_down: f64,
+        grace_s: f64,
     },
     Forget {
-        parcel: String,
+        #[serde(rename = "parcel")]
+        task_id: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -58,17 +71,18 @@
 
 impl Order {
     /// The task that it is about, as `JOB/TASK`.
-    pub fn parcel(&self) -> &str {
+    pub fn task_id(&self) -> &str {
         match self {
-            Order::Run { parcel, .. }
-            | Order::Halt { parcel, .. }
-            | Order::Forget { parcel, .. } => parcel,
+            Order::Run { task_id: parcel, .. }
+            | Order::Halt { task_id: parcel, .. }
+            | Order::Forget { task_id: parcel, .. } => parcel,
         }
     }
 }
 
 #[derive(Debug, Serialize)]
 pub struct Orders {
-    pub warrant: u64,
+    #[serde(rename = "warrant")]
+    pub term: u64,
     pub orders: Vec<Order>,
 }
