--- a/crates/controller/src/dealings.rs
+++ b/crates/controller/src/dealings.rs
@@ -17,7 +17,7 @@
     let now = node.now();
     let (machines, stamp) = node.with_cell(term, |c, _| {
         c.listed(&hosts, now);
-        (c.provided(&hosts), c.ledger.leader.stamp)
+        (c.provided(&hosts), c.write_queue.leader_condition.stamp)
     })?;
     let when = [Cond { path: LEADER.into(), stamp }, Cond { path: PROVIDED.into(), stamp: 0 }];
     let v = Record::Provided(ProvidedRecord { machines });
@@ -81,12 +81,12 @@
         while rentals.try_join_next().is_some() {}
         while returning.try_join_next().is_some() {}
         while listing.try_join_next().is_some() {}
-        if node.with_cell(term, |c, lead| lead && c.fleet.provided.is_none()) == Some(true) {
+        if node.with_cell(term, |c, lead| lead && c.fleet.provided_machines.is_none()) == Some(true) {
             if pace.take()
                 && let Some(n) = survey(&node, term).await
             {
                 tracing::info!("{n} machines are provided");
-                node.with_cell(term, |c, _| c.fleet.provided = Some(n));
+                node.with_cell(term, |c, _| c.fleet.provided_machines = Some(n));
             }
             continue;
         }
--- a/crates/controller/src/leadership/commits.rs
+++ b/crates/controller/src/leadership/commits.rs
@@ -33,7 +33,7 @@
         let spare = (tokens as usize).saturating_sub(reserve);
         let ops = (tokens as usize).min(caution.ops);
         // The others go several at a time: transactions cost processor time.
-        let users = node.with_cell(term, |c, _| c.ledger.users_wait());
+        let users = node.with_cell(term, |c, _| c.write_queue.has_user_facing_writes());
         if users == Some(false) && spare < 4 {
             sleep(ms(20)).await;
             continue;
@@ -42,7 +42,7 @@
         let batch = node.with_cell(term, |c, _| c.batch_with_reserve(ops, reserve));
         let Some(batch) = batch else { return "superseded" };
         let Some(batch) = batch else {
-            let more = node.with_cell(term, |c, _| c.ledger.unwritten() > c.ledger.held_back());
+            let more = node.with_cell(term, |c, _| c.write_queue.dirty_count() > c.write_queue.held_back_count());
             if more == Some(true) {
                 sleep(ms(20)).await;
                 continue;
@@ -52,12 +52,12 @@
             sleep(ms(3)).await;
             continue;
         };
-        tokens -= batch.apply.len() as f64;
+        tokens -= batch.changes.len() as f64;
         let begin = tokio::time::Instant::now();
-        let outcome = node.store.commit(&batch.when, &batch.apply).await;
+        let outcome = node.store.commit(&batch.conditions, &batch.changes).await;
         node.with_cell(term, |c, _| {
-            c.ledger.commits.writes += batch.apply.len() as u64;
-            c.ledger.commits.micros.saturating_record(begin.elapsed().as_micros() as u64);
+            c.write_queue.commit_stats.writes += batch.changes.len() as u64;
+            c.write_queue.commit_stats.latency_us.saturating_record(begin.elapsed().as_micros() as u64);
         });
         match outcome {
             Outcome::Applied(rev) => {
@@ -65,15 +65,15 @@
                 let now = node.now();
                 let direct = node.with_cell(term, |c, _| {
                     c.applied(&batch, rev);
-                    c.ledger.alone = caution.alone > 0;
+                    c.write_queue.one_record_per_batch = caution.alone > 0;
                     c.follow(now);
-                    std::mem::take(&mut c.direct)
+                    std::mem::take(&mut c.direct_requests)
                 });
                 node.send_directly(term, direct.unwrap_or_default());
                 node.bump();
             }
             Outcome::Conflict(keys) => {
-                node.with_cell(term, |c, _| c.ledger.not_executed(&batch));
+                node.with_cell(term, |c, _| c.write_queue.batch_not_executed(&batch));
                 if keys.iter().any(|k| k == LEADER) {
                     return "the leader key is another's";
                 }
@@ -107,22 +107,22 @@
                 node.with_cell(term, |c, _| {
                     let sole = c.malformed(&batch);
                     caution.malformed(&batch, sole);
-                    c.ledger.alone = caution.alone > 0;
+                    c.write_queue.one_record_per_batch = caution.alone > 0;
                 });
                 node.bump();
                 sleep(ms(100)).await;
             }
             Outcome::TooMany => {
-                tracing::warn!("the state service refuses {} changes: too many", batch.apply.len());
+                tracing::warn!("the state service refuses {} changes: too many", batch.changes.len());
                 caution.pace = (caution.pace * 0.8).max(0.2);
                 node.with_cell(term, |c, _| {
-                    c.ledger.not_executed(&batch);
-                    c.ledger.commits.too_many += 1;
+                    c.write_queue.batch_not_executed(&batch);
+                    c.write_queue.commit_stats.refused_too_many += 1;
                 });
                 sleep(ms(250)).await;
             }
             Outcome::Refused => {
-                node.with_cell(term, |c, _| c.ledger.not_executed(&batch));
+                node.with_cell(term, |c, _| c.write_queue.batch_not_executed(&batch));
                 sleep(ms(150)).await;
             }
             Outcome::Unknown => sleep(ms(100)).await,
--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::store::StoreError;
 use copperhaven_core::records::*;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_rollout::{PACKS, Stage};
 use tokio::time::sleep;
@@ -50,7 +50,7 @@
     let Some((names, flavors)) = node.known_flavors() else { return Err(StoreError::Malformed) };
     let leader = Cond { path: LEADER.into(), stamp };
     let now = node.now();
-    let mut cell = Cell::new(node.settings.clone(), term, leader, now, names, flavors);
+    let mut cell = LeaderState::new(node.settings.clone(), term, leader, now, names, flavors);
     cell.recovery.set_started_at(begun);
     let read = Records {
         jobs: jobs.rows,
@@ -64,7 +64,7 @@
         bad,
     };
     rebuild(&mut cell, read, now, Node::wall_ms());
-    cell.fleet.provided = provided;
+    cell.fleet.provided_machines = provided;
     let (j, m) = (cell.jobs.len(), cell.machines.len());
     let took = node.now() - begun;
     tracing::info!("term {term} has {j} open jobs and {m} machines on record, read in {took} ms");
@@ -76,7 +76,7 @@
 /// record is in memory.
 pub(super) async fn read_ends(node: &Node, term: u64) -> &'static str {
     loop {
-        let Some(some) = node.with_cell(term, |c, _| c.links.unread(4)) else {
+        let Some(some) = node.with_cell(term, |c, _| c.dependencies.next_unread_outcomes(4)) else {
             return "superseded";
         };
         let pause = if some.is_empty() { 200 } else { 20 };
@@ -98,7 +98,7 @@
             };
             let now = node.now();
             node.with_cell(term, |c, _| {
-                c.links.read(uid, seen.map(|(last, _)| last.done));
+                c.dependencies.resolve_outcome(uid, seen.map(|(last, _)| last.done));
                 if unreadable {
                     c.doubt(uid);
                 }
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -58,13 +58,13 @@
         // A move whose answer was lost, or one that an earlier leader made.
         let written = stages.stage(PACKS) == Stage::Written;
         let switched = node.with_cell(term, |c, _| {
-            let change = c.packs.are_on() != written;
+            let change = c.packs.is_enabled() != written;
             match change {
                 true if written => c.pack_machines(),
                 true => c.unpack_machines(),
                 false => {}
             }
-            change && c.packs.are_on() == written
+            change && c.packs.is_enabled() == written
         });
         if switched == Some(true) {
             tracing::info!("lists of machines are written in packs: {written}");
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -2,7 +2,7 @@
 
 use crate::leadership::ms;
 use crate::node::Node;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_recovery::phase::Phase;
 use std::sync::Arc;
 use tokio::time::sleep;
@@ -52,35 +52,35 @@
         beat += 1;
         behind = falls_behind(behind, lag);
         let direct = node.with_cell(term, |c, _| {
-            c.lag = lag;
+            c.timer_lag = lag;
             tell_recovery(c, now);
             c.move_lists(MOVED);
             c.expire(now);
             c.follow(now);
             if beat.is_multiple_of(5) {
-                c.stir = true;
+                c.placement_pending = true;
             }
             if beat.is_multiple_of(20) {
                 c.spot_slow(now);
                 c.judge(now);
             }
             if beat.is_multiple_of(RECORD_BEATS) {
-                c.record_service();
+                c.record_fairness();
             }
             if beat.is_multiple_of(LINE_BEATS) {
-                let line = c.service_line(now);
+                let line = c.fairness_summary(now);
                 if !line.is_empty() {
                     tracing::info!("served of late: {line}");
                 }
             }
             // With no machines there is nobody to be heard.
-            let report = c.machines.values().map(|m| m.heard).max().unwrap_or(now);
-            (std::mem::take(&mut c.direct), report, c.machines.len())
+            let report = c.machines.values().map(|m| m.last_report_at).max().unwrap_or(now);
+            (std::mem::take(&mut c.direct_requests), report, c.machines.len())
         });
         let Some((mut direct, report, machines)) = direct else { return "superseded" };
         node.place(term);
         direct
-            .extend(node.with_cell(term, |c, _| std::mem::take(&mut c.direct)).unwrap_or_default());
+            .extend(node.with_cell(term, |c, _| std::mem::take(&mut c.direct_requests)).unwrap_or_default());
         let alone = alone_ms(report_ms);
         heard = heard.max(report);
         if (now > heard + alone) != deaf {
@@ -119,7 +119,7 @@
 }
 
 /// Tells in the log how the takeover goes on, and at its end what was met when reports were held against records.
-fn tell_recovery(c: &mut Cell, now: u64) {
+fn tell_recovery(c: &mut LeaderState, now: u64) {
     let mut over = false;
     for z in c.recovery.advance_time(now) {
         let (zone, heard) = (c.names.zones.name(z.zone.0 as usize), z.recorded_machines - z.unreported_machines);
@@ -129,7 +129,7 @@
     }
     if over {
         c.close_squaring();
-        tracing::info!("recovery: over, tasks: {}", c.squared.summary());
+        tracing::info!("recovery: over, tasks: {}", c.reconciliation.summary());
     }
 }
 
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -102,61 +102,61 @@
             let here = f64::from(u8::from(c.recovery.phase() as usize == i));
             phase.get_or_create(&vec![("phase", (*name).into())]).set(here);
         }
-        for (what, n) in [("jobs", c.swept.jobs), ("tasks", c.swept.tasks)] {
+        for (what, n) in [("jobs", c.sweep_counts.jobs), ("tasks", c.sweep_counts.tasks)] {
             swept.get_or_create(&vec![("what", what.into())]).set(n as f64);
         }
         unheard.get_or_create(&none).set(c.recovery.unreported_count() as f64);
-        for (row, n) in c.squared.iter() {
+        for (row, n) in c.reconciliation.iter() {
             squared.get_or_create(&vec![("met", row.name().into())]).set(n as f64);
         }
         for (state, n) in [
-            ("awaiting", c.jobs.values().filter(|j| j.open() && !j.awaits.is_empty()).count()),
+            ("awaiting", c.jobs.values().filter(|j| j.is_open() && !j.pending_dependencies.is_empty()).count()),
             (
                 "waiting",
                 c.jobs
                     .values()
-                    .filter(|j| j.open() && j.running == 0 && j.awaits.is_empty())
+                    .filter(|j| j.is_open() && j.running == 0 && j.pending_dependencies.is_empty())
                     .count(),
             ),
-            ("running", c.jobs.values().filter(|j| j.open() && j.running > 0).count()),
-            ("ending", c.jobs.values().filter(|j| !j.open()).count()),
+            ("running", c.jobs.values().filter(|j| j.is_open() && j.running > 0).count()),
+            ("ending", c.jobs.values().filter(|j| !j.is_open()).count()),
         ] {
             jobs.get_or_create(&vec![("state", state.into())]).set(n as f64);
         }
-        let silence = c.silence();
+        let silence = c.report_timeout_ms();
         for m in c.machines.values() {
             let state = match () {
                 () if m.faulty => "quarantined",
-                () if m.hearing.is_deaf() => "deaf",
+                () if m.response_tracker.is_unresponsive() => "deaf",
                 () if m.leaving => "leaving",
-                () if m.recall_at.is_some() => "taken back",
-                () if m.usable(now, silence) => "usable",
+                () if m.reclaim_at.is_some() => "taken back",
+                () if m.is_usable(now, silence) => "usable",
                 () => "silent",
             };
             let labels = vec![
-                ("type", c.names.types.name(m.kind.ix()).to_string()),
-                ("zone", c.names.zones.name(m.zone.ix()).to_string()),
+                ("type", c.names.types.name(m.machine_type.index()).to_string()),
+                ("zone", c.names.zones.name(m.zone.index()).to_string()),
                 ("state", state.into()),
             ];
             machines.get_or_create(&labels).inc();
         }
-        let heard = c.machines.values().map(|m| m.heard).max().unwrap_or(now);
+        let heard = c.machines.values().map(|m| m.last_report_at).max().unwrap_or(now);
         silent.get_or_create(&none).set(now.saturating_sub(heard) as f64 / 1000.0);
         let overdue = c.overdue(now).0.len();
         for (state, n) in [("all", c.fleet.booting.len()), ("overdue", overdue)] {
             boots.get_or_create(&vec![("state", state.into())]).set(n as f64);
         }
-        let fail = c.jobs.values().filter(|j| j.open() && j.is_failing()).count();
+        let fail = c.jobs.values().filter(|j| j.is_open() && j.is_failing()).count();
         failing.get_or_create(&none).set(fail as f64);
         let span = c.settings.tuning.default_span_s;
         for (z, zone) in (0..c.names.zones.len()).map(|z| (z, c.names.zones.name(z))) {
             for (k, flavor) in c.flavors.iter().enumerate() {
                 let pool = z * c.flavors.len() + k;
                 let labels = vec![("zone", zone.to_string()), ("type", flavor.label.clone())];
-                let routed = |j: &Job| j.routed.get(pool).copied().unwrap_or(0);
+                let routed = |j: &Job| j.routed_by_pool.get(pool).copied().unwrap_or(0);
                 let x: u32 = c.jobs.values().map(routed).sum();
                 let here = |m: &&Machine| {
-                    m.zone.ix() == z && m.kind == TypeId::from(k) && m.usable(now, silence)
+                    m.zone.index() == z && m.machine_type == TypeId::from(k) && m.is_usable(now, silence)
                 };
                 let m = c.machines.values().filter(here).count() as f64 * flavor.cpus;
                 waiting.get_or_create(&labels).set(f64::from(x));
@@ -167,11 +167,11 @@
         for (t, team) in c.settings.deployment.teams.iter().enumerate() {
             usage
                 .get_or_create(&vec![("team", team.name.clone())])
-                .set(c.teams.usage(TeamId::from(t)).cpus);
+                .set(c.team_usage.usage(TeamId::from(t)).cpus);
         }
         let class = |i: u32| ("class", c.names.classes.name(i as usize).to_string());
         let team = |i: u32| ("team", c.names.teams.name(i as usize).to_string());
-        for ((t, k), r) in c.service.team_classes() {
+        for ((t, k), r) in c.fairness_ledger.team_classes() {
             for (fate, n) in [
                 ("taken", r.accepted),
                 ("done", r.done),
@@ -184,30 +184,30 @@
                 service.get_or_create(&labels).set(n as f64);
             }
         }
-        for (t, r) in c.service.teams() {
+        for (t, r) in c.fairness_ledger.teams() {
             share.get_or_create(&vec![team(t.0)]).set(r.served_share(now));
         }
-        for (k, r) in c.service.classes() {
+        for (k, r) in c.fairness_ledger.classes() {
             share.get_or_create(&vec![class(k.0)]).set(r.served_share(now));
             lost.get_or_create(&vec![class(k.0)]).set(r.lost_share(now));
             for (name, q) in [("0.5", 0.5), ("0.9", 0.9)] {
-                if let Some(s) = c.service.slowdown(k, q) {
+                if let Some(s) = c.fairness_ledger.slowdown(k, q) {
                     slow.get_or_create(&vec![class(k.0), ("quantile", name.into())]).set(s);
                 }
             }
         }
-        dirty.get_or_create(&none).set(c.ledger.unwritten() as f64);
-        writes.get_or_create(&none).set(c.ledger.commits.writes as f64);
-        unreadable.get_or_create(&none).set((asked + c.aside.len()) as f64);
-        held.get_or_create(&none).set(c.ledger.held_back() as f64);
+        dirty.get_or_create(&none).set(c.write_queue.dirty_count() as f64);
+        writes.get_or_create(&none).set(c.write_queue.commit_stats.writes as f64);
+        unreadable.get_or_create(&none).set((asked + c.unreadable.len()) as f64);
+        held.get_or_create(&none).set(c.write_queue.held_back_count() as f64);
         for (why, n) in [
-            ("too large", c.ledger.commits.too_large),
-            ("too many changes", c.ledger.commits.too_many),
+            ("too large", c.write_queue.commit_stats.refused_too_large),
+            ("too many changes", c.write_queue.commit_stats.refused_too_many),
         ] {
             writes_refused.get_or_create(&vec![("why", why.into())]).set(n as f64);
         }
         for (name, q) in [("0.5", 0.5), ("0.99", 0.99), ("1", 1.0)] {
-            let s = c.ledger.commits.micros.value_at_quantile(q) as f64 / 1e6;
+            let s = c.write_queue.commit_stats.latency_us.value_at_quantile(q) as f64 / 1e6;
             latency.get_or_create(&vec![("quantile", name.into())]).set(s);
         }
     });
--- a/crates/controller/src/node/directly.rs
+++ b/crates/controller/src/node/directly.rs
@@ -1,7 +1,7 @@
 //! What is sent straight to workers, paced (`copperhaven_recovery::lane`).
 
 use crate::node::Node;
-use copperhaven_core::state::machine::Direct;
+use copperhaven_core::state::machine::DirectRequest;
 use copperhaven_recovery::lane::{SendBudget, SEND_PRIORITY_COUNT, SendQueue, SendPriority};
 use copperhaven_wire::workers::{Order, Orders, Report};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 const LIMIT: Duration = Duration::from_millis(2000);
 
 /// The lane, and the term that it is for.
-pub struct Lanes(Mutex<(u64, SendQueue<Direct>)>);
+pub struct Lanes(Mutex<(u64, SendQueue<DirectRequest>)>);
 
 impl Lanes {
     pub(super) fn new(settings: &copperhaven_core::settings::Settings) -> Lanes {
@@ -33,7 +33,7 @@
 
 impl Node {
     /// Takes these in, and sends what is due.
-    pub fn send_directly(self: &Arc<Self>, term: u64, all: Vec<Direct>) {
+    pub fn send_directly(self: &Arc<Self>, term: u64, all: Vec<DirectRequest>) {
         let now = self.now();
         let mut lanes = self.lanes.0.lock().expect("lock");
         let (of, lane) = &mut *lanes;
@@ -56,7 +56,7 @@
                     (SendPriority::Halt, _) => true,
                     (SendPriority::RequestReport, mid) => mid.is_some_and(|mid| c.nudge_helps(mid)),
                     // The answer to its own report has told it by now.
-                    (SendPriority::Term, _) => m.is_none_or(|m| m.answered == 0),
+                    (SendPriority::Term, _) => m.is_none_or(|m| m.last_answered_at == 0),
                 }
             })
         });
@@ -70,7 +70,7 @@
     }
 }
 
-fn urgency(d: &Direct) -> SendPriority {
+fn urgency(d: &DirectRequest) -> SendPriority {
     let nudge = |o: &Order| matches!(o, Order::Run { .. });
     match d.orders.as_slice() {
         [] => SendPriority::Term,
@@ -81,7 +81,7 @@
 
 /// Sends halts, a nudge, or just the new term, straight to a worker. Its answer proves nothing; it only
 /// speeds up what the next report will show.
-async fn send(node: &Node, term: u64, mut d: Direct) {
+async fn send(node: &Node, term: u64, mut d: DirectRequest) {
     #[derive(serde::Serialize)]
     struct Body<'a> {
         shift: u64,
@@ -89,7 +89,7 @@
         orders: &'a Orders,
     }
     let orders = Orders { term, orders: std::mem::take(&mut d.orders) };
-    let mut shift = d.shift;
+    let mut shift = d.session;
     for _ in 0..2 {
         let body = Body { shift, orders: &orders };
         let answer = node.workers.post(&d.addr, "/commands", &body, LIMIT).await;
--- a/crates/controller/src/node/lookups.rs
+++ b/crates/controller/src/node/lookups.rs
@@ -35,7 +35,7 @@
     ) -> Result<Option<FinalRecord>, Reply> {
         match self.store.get::<FinalRecord>(&format!("f/{uid}")).await {
             Ok(Some((record, _))) => {
-                self.with_cell(term, |c, _| c.finals.remember(uid.into(), record.clone()));
+                self.with_cell(term, |c, _| c.final_records.insert(uid.into(), record.clone()));
                 Ok(Some(record))
             }
             Ok(None) => Ok(None),
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -22,7 +22,7 @@
 use copperhaven_core::lookups::Lookups;
 use copperhaven_core::pace::Pace;
 use copperhaven_core::settings::Settings;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
 use copperhaven_core::state::names::Names;
 use copperhaven_wire::cloud::WireMachineType;
@@ -35,7 +35,7 @@
 
 #[derive(Default)]
 pub struct State {
-    pub cell: Option<Cell>,
+    pub cell: Option<LeaderState>,
     /// Send time of the last good renewal of the leader's lease.
     pub renewed: u64,
     /// Term and member of the last leader heard of.
@@ -151,7 +151,7 @@
     }
 
     /// Runs `f` on the cell of this term; the flag says whether the leader is in authority.
-    pub fn with_cell<T>(&self, term: u64, f: impl FnOnce(&mut Cell, bool) -> T) -> Option<T> {
+    pub fn with_cell<T>(&self, term: u64, f: impl FnOnce(&mut LeaderState, bool) -> T) -> Option<T> {
         let now = self.now();
         let mut state = self.state.lock().expect("lock");
         let lead = self.authority(&state, now);
@@ -164,7 +164,7 @@
         &self,
         term: u64,
         limit: Duration,
-        mut f: impl FnMut(&mut Cell, bool) -> Option<T>,
+        mut f: impl FnMut(&mut LeaderState, bool) -> Option<T>,
     ) -> Option<T> {
         let end = Instant::now() + limit;
         let mut changed = self.changed.subscribe();
--- a/crates/controller/src/node/questions.rs
+++ b/crates/controller/src/node/questions.rs
@@ -15,7 +15,7 @@
     /// What is known of a job in memory.
     pub(super) fn known(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
         self.with_cell(term, |c, _| {
-            if c.jobs.has(uid) || c.finals.has(uid) { Some(c.show(uid)) } else { None }
+            if c.jobs.contains_name(uid) || c.final_records.contains(uid) { Some(c.show(uid)) } else { None }
         })
         .flatten()
     }
@@ -23,7 +23,7 @@
     /// Why this leader has set a job aside, if it has.
     pub(super) fn aside(&self, uid: &str) -> Option<String> {
         let term = self.term()?;
-        self.with_cell(term, |c, _| c.aside.job(uid).map(ToString::to_string)).flatten()
+        self.with_cell(term, |c, _| c.unreadable.job_reason(uid).map(ToString::to_string)).flatten()
     }
 
     pub(super) async fn show(&self, body: &[u8]) -> Reply {
@@ -68,7 +68,7 @@
             return Reply::new(200, &shown);
         }
         let accepted =
-            self.with_cell(term, |c, _| c.job(uid).is_some_and(|(id, j)| c.accepted(id, j)));
+            self.with_cell(term, |c, _| c.job(uid).is_some_and(|(id, j)| c.is_accepted(id, j)));
         if accepted == Some(true) && !self.lacks_state() && self.may_look_up(uid, 2) {
             return self.read_both(uid).await;
         }
--- a/crates/controller/src/node/reports.rs
+++ b/crates/controller/src/node/reports.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::node::serve::NOT_ENTITLED;
 use crate::reply::Reply;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::workers::reports::Taken;
 use copperhaven_wire::workers::Report;
 use std::time::Duration;
@@ -78,7 +78,7 @@
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
         self.place(term);
-        let ready = |c: &mut Cell, lead: bool| (!lead || c.orders_ready(mid)).then_some(());
+        let ready = |c: &mut LeaderState, lead: bool| (!lead || c.orders_ready(mid)).then_some(());
         self.until(term, REPORT_LIMIT, ready).await;
         if !self.leading(true) {
             return none;
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -115,8 +115,8 @@
                     return Err(Reply::error(422, &e.to_string()));
                 }
             };
-            if !c.has_room(spec.team, spec.tasks) {
-                c.service.submission_refused(served::pair(&spec), Refusal::Memory);
+            if !c.has_memory_for(spec.team, spec.tasks) {
+                c.fairness_ledger.submission_refused(served::fairness_pair(&spec), Refusal::Memory);
                 return Err(Reply::later("more tasks than fit into memory", spread(15)));
             }
             // Types that the cloud doesn't have can't matter, and a long list of them would not
@@ -128,7 +128,7 @@
             }
             // Kept apart from the rest, however long the list is.
             let awaits = job.depends_on.take().unwrap_or_default();
-            if c.empty_record_bytes(&job) + 64 > c.ledger.value_limit {
+            if c.record_bytes_without_dependencies(&job) + 64 > c.write_queue.value_limit {
                 return Err(Reply::error(400, "malformed: names too long to be recorded"));
             }
             let (open, dead) = match c.look_at_awaits(&awaits, read) {
@@ -152,10 +152,10 @@
             let wait = c.expected_wait(&open, now);
             let routed = match c.admit_after(&spec, wait, now) {
                 // Cancelled with what it waits for, it needs no room.
-                Err(_) if dead => vec![0; c.pools()],
+                Err(_) if dead => vec![0; c.pool_count()],
                 Ok(routed) => routed,
                 Err(nu) => {
-                    c.service.submission_refused(served::pair(&spec), Refusal::Index);
+                    c.fairness_ledger.submission_refused(served::fairness_pair(&spec), Refusal::Index);
                     tracing::info!("refuse {uid}: lowest index {nu:.6} reaches the rejection cost");
                     let reply = Reply::error(429, "its deadline cannot be met now");
                     return Err(Reply { retry_after: 10, ..reply });
@@ -175,10 +175,10 @@
             );
             let id = c.take_in(spec, job, (open, dead), Self::wall_ms(), now);
             if let Some(j) = c.jobs.get_mut(&id)
-                && j.awaits.is_empty()
-                && j.open()
+                && j.pending_dependencies.is_empty()
+                && j.is_open()
             {
-                j.routed = routed;
+                j.routed_by_pool = routed;
             }
             Ok(None)
         });
@@ -212,7 +212,7 @@
         }
         let now = self.now();
         let done = self.with_cell(term, |c, lead| {
-            if lead && let Some(id) = c.jobs.id(uid) {
+            if lead && let Some(id) = c.jobs.id_of(uid) {
                 c.cancel(id, now);
             }
             lead
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -36,12 +36,12 @@
     // it was counted as part of the job's own record.
     let node = Node::new(copperhaven_core::for_tests::sample());
     let mut cell = copperhaven_core::for_tests::cell();
-    cell.ledger.value_limit = 2048;
+    cell.write_queue.value_limit = 2048;
     let term = cell.term;
     let uids: Vec<String> = (2000..3000).map(|n| format!("wk-{n}")).collect();
     for uid in &uids {
         let id = copperhaven_core::for_tests::add_job(&mut cell, uid, |b| b.tasks = 1);
-        cell.applied_for_test(id);
+        cell.mark_job_saved_for_test(id);
     }
     let renewed = node.now();
     *node.state.lock().expect("lock") = State { cell: Some(cell), renewed, ..State::default() };
--- a/crates/core/benches/leader.rs
+++ b/crates/core/benches/leader.rs
@@ -7,9 +7,9 @@
 use copperhaven_core::admission::shape::admit_shape;
 use copperhaven_core::for_tests::{T0, TEAMS, TERM, body, large, report, sample_with};
 use copperhaven_core::records::{Cond, JobRecord, MachineRecord, OnRecord};
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
-use copperhaven_core::state::ledger::Key;
+use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::Taken;
@@ -57,7 +57,7 @@
     Report { machine: name(i), addr: addr(i), machine_type: berth, tasks: parcels, ..report(1, tally, TERM, &[]) }
 }
 
-fn empty(machines: usize) -> Cell {
+fn empty(machines: usize) -> LeaderState {
     let cpus = machines as f64 * 32.0;
     let team = |name: &str| {
         format!(r#"{{ name = "{name}", cpus = {:.1}, cpus_max = {:.1} }}"#, cpus * 0.4, cpus * 2.0)
@@ -68,30 +68,30 @@
     names.types.intern("large");
     let flavors = vec![Flavor::from_wire(&large(&["north", "south"]), &mut names)];
     let leader = Cond { path: "c/leader".into(), stamp: 5 };
-    let mut c = Cell::new(settings, TERM, leader, T0, names, flavors);
-    c.fleet.provided = Some(0);
+    let mut c = LeaderState::new(settings, TERM, leader, T0, names, flavors);
+    c.fleet.provided_machines = Some(0);
     c
 }
 
-fn insert(c: &mut Cell, b: JobBody) -> JobId {
+fn insert(c: &mut LeaderState, b: JobBody) -> JobId {
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
     let spec = admit_shape(&b, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, b, T0, T0 as i64);
-    let ver = c.touch(Key::Job(id));
+    let ver = c.mark_dirty(RecordKey::Job(id));
     if let Some(job) = c.jobs.get_mut(&id) {
         job.accept_ver = ver;
     }
     id
 }
 
-fn saved(c: &mut Cell) {
+fn saved(c: &mut LeaderState) {
     while let Some(batch) = c.batch(500) {
         c.applied(&batch, 9);
     }
 }
 
 /// All machines have eight tasks of four CPUs; so many jobs wait.
-fn full(machines: usize, jobs: usize) -> Cell {
+fn full(machines: usize, jobs: usize) -> LeaderState {
     let mut c = empty(machines);
     let id = insert(&mut c, busy(machines));
     for i in 0..machines {
@@ -113,10 +113,10 @@
 }
 
 /// What its list has is running there.
-fn running(c: &Cell, i: usize, tally: u64) -> Report {
-    let m = c.machines.id(&name(i)).and_then(|mid| c.machines.get(&mid)).expect("there");
-    let parcels = m.entries.iter().map(|((id, t), e)| TaskReport {
-        task_id: c.parcel(*id, *t),
+fn running(c: &LeaderState, i: usize, tally: u64) -> Report {
+    let m = c.machines.id_of(&name(i)).and_then(|mid| c.machines.get(&mid)).expect("there");
+    let parcels = m.assignments.iter().map(|((id, t), e)| TaskReport {
+        task_id: c.task_id(*id, *t),
         attempt: e.attempt,
         status: "running".into(),
         cause: None,
@@ -128,9 +128,9 @@
 /// Time of `step` alone, over `n` rounds, each after `before`.
 fn timed<T>(
     n: u64,
-    c: &mut Cell,
-    mut before: impl FnMut(&mut Cell, u64) -> T,
-    mut step: impl FnMut(&mut Cell, T),
+    c: &mut LeaderState,
+    mut before: impl FnMut(&mut LeaderState, u64) -> T,
+    mut step: impl FnMut(&mut LeaderState, T),
 ) -> Duration {
     let mut sum = Duration::ZERO;
     for round in 0..n {
@@ -168,14 +168,14 @@
         // One task is done; the pass finds its place for another.
         group.bench_function(BenchmarkId::new("a pass after one change", size), |b| {
             b.iter_custom(|n| {
-                let before = |c: &mut Cell, round: u64| {
+                let before = |c: &mut LeaderState, round: u64| {
                     (tally, now) = (tally + 1, now + 60);
                     let mut r = running(c, (round as usize * 7) % size, tally);
                     if let Some(p) = r.tasks.first_mut() {
                         (p.status, p.cause) = ("ended".into(), Some("done".into()));
                     }
                     c.on_report(&r, now);
-                    c.machines.values_mut().for_each(|m| m.heard = now);
+                    c.machines.values_mut().for_each(|m| m.last_report_at = now);
                     saved(c);
                     now
                 };
@@ -184,7 +184,7 @@
         });
         group.bench_function(BenchmarkId::new("a report", size), |b| {
             b.iter_custom(|n| {
-                let before = |c: &mut Cell, round: u64| {
+                let before = |c: &mut LeaderState, round: u64| {
                     tally += 1;
                     running(c, (round as usize * 11) % size, tally)
                 };
@@ -195,7 +195,7 @@
         });
         group.bench_function(BenchmarkId::new("a submission", size), |b| {
             b.iter_custom(|n| {
-                let before = |_: &mut Cell, _| {
+                let before = |_: &mut LeaderState, _| {
                     more += 1;
                     job(500_000 + more)
                 };
--- a/crates/core/examples/flood.rs
+++ b/crates/core/examples/flood.rs
@@ -9,9 +9,9 @@
 use copperhaven_core::admission::shape::admit_shape;
 use copperhaven_core::for_tests::{OBJECTIVES, TEAMS, body, large, report, sample_with};
 use copperhaven_core::records::Cond;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
-use copperhaven_core::state::ledger::Key;
+use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::Names;
 use copperhaven_core::workers::reports::Taken;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
@@ -56,7 +56,7 @@
 }
 
 struct World {
-    cell: Cell,
+    cell: LeaderState,
     machines: Vec<Machine>,
     /// Image and run time by job.
     jobs: BTreeMap<String, (String, u64, bool)>,
@@ -97,8 +97,8 @@
         names.types.intern("large");
         let flavors = vec![Flavor::from_wire(&large(&ZONES), &mut names)];
         let leader = Cond { path: "c/leader".into(), stamp: 50 };
-        let mut cell = Cell::new(settings, 7, leader, 100_000, names, flavors);
-        cell.fleet.provided = Some(0);
+        let mut cell = LeaderState::new(settings, 7, leader, 100_000, names, flavors);
+        cell.fleet.provided_machines = Some(0);
         World {
             cell,
             machines: (0..machines).map(|_| Machine::default()).collect(),
@@ -144,16 +144,16 @@
             let settings = cell.settings.clone();
             let flavors = cell.flavors.clone();
             let spec = admit_shape(&b, &mut cell.names, &flavors, &settings).expect("valid");
-            if !cell.has_room(spec.team, spec.tasks) {
+            if !cell.has_memory_for(spec.team, spec.tasks) {
                 return;
             }
             let routed = cell.admit(&Arc::new(spec.clone()), now);
             let id = cell.insert_job(spec, b, now, now as i64);
-            let ver = cell.touch(Key::Job(id));
+            let ver = cell.mark_dirty(RecordKey::Job(id));
             if let Some(job) = cell.jobs.get_mut(&id) {
                 job.accept_ver = ver;
                 if let Ok(routed) = routed {
-                    job.routed = routed;
+                    job.routed_by_pool = routed;
                 }
             }
         });
@@ -213,7 +213,7 @@
             let ops = (self.tokens as usize).min(48);
             let cell = &mut self.cell;
             let Some(batch) = self.spent.on("batch", || cell.batch(ops)) else { return };
-            self.tokens -= batch.apply.len() as f64;
+            self.tokens -= batch.changes.len() as f64;
             let rev = self.now;
             self.spent.on("applied", || cell.applied(&batch, rev));
         }
@@ -261,14 +261,14 @@
                     cell.expire(now);
                     cell.follow(now);
                     if step % (500 / STEP_MS) == 0 {
-                        cell.stir = true;
+                        cell.placement_pending = true;
                     }
                     if step % (2000 / STEP_MS) == 0 {
                         cell.spot_slow(now);
                         cell.judge(now);
                     }
                 });
-                for d in std::mem::take(&mut self.cell.direct) {
+                for d in std::mem::take(&mut self.cell.direct_requests) {
                     let i =
                         (0..count).find(|i| format!("10.0.{}.{}:9", i / 250, i % 250) == d.addr);
                     if let Some(i) = i {
--- a/crates/core/examples/memory.rs
+++ b/crates/core/examples/memory.rs
@@ -6,7 +6,7 @@
 //! process's resident memory before and after (Linux).
 
 use copperhaven_core::for_tests;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 
 fn resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -14,7 +14,7 @@
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn fill(cell: &mut Cell, jobs: usize, tasks: u64) {
+fn fill(cell: &mut LeaderState, jobs: usize, tasks: u64) {
     for n in 0..jobs {
         let uid = format!("wk-{n}");
         let id = for_tests::add_job(cell, &uid, |_| ());
--- a/crates/core/src/admission/index.rs
+++ b/crates/core/src/admission/index.rs
@@ -5,8 +5,8 @@
 //! ν = 1 − μ/(μ+θ)·(mμ/(mμ+θ))^max(j,0). The code keeps ln(1−ν): a huge queue rounds ν to 1,
 //! but not its logarithm, so that order and `ν < 1` survive.
 
-use crate::state::cell::Cell;
-use crate::state::job::{EPS, Spec};
+use crate::state::cell::LeaderState;
+use crate::state::job::{EPS, JobSpec};
 use crate::state::names::*;
 
 /// ln(1−ν); minus infinity where ν is 1. The lowest ν has the highest value.
@@ -93,75 +93,75 @@
     }
 }
 
-impl Cell {
+impl LeaderState {
     /// The share of a machine of this type that one task takes.
-    pub fn share(&self, spec: &Spec, kind: TypeId) -> f64 {
-        let f = &self.flavors[kind.ix()];
+    pub fn share(&self, spec: &JobSpec, kind: TypeId) -> f64 {
+        let f = &self.flavors[kind.index()];
         let part = |a: f64, b: f64| if a <= 0.0 { 0.0 } else { a / b.max(1e-9) };
         part(spec.cpus, f.cpus)
             .max(part(spec.mem_gb, f.mem_gb))
-            .max(part(spec.cards, f.cards))
+            .max(part(spec.gpus, f.gpus))
             .max(1.0 / 256.0)
     }
 
     /// θ: one over the job's deadline span, its class's objective, or the default.
-    pub fn theta(&self, spec: &Spec) -> f64 {
+    pub fn theta(&self, spec: &JobSpec) -> f64 {
         let span = spec
             .deadline_s
-            .or_else(|| self.settings.class_span(self.names.classes.name(spec.class.ix())))
+            .or_else(|| self.settings.class_span(self.names.classes.name(spec.class.index())))
             .unwrap_or(self.settings.tuning.default_span_s);
         1.0 / span.max(0.1)
     }
 
     /// Every pool that the job may use. Slots count machines that are up and sound, that boot,
     /// and one that could be rented where the cloud has not just refused.
-    pub fn views(&self, spec: &Spec, now: u64) -> Vec<PoolView> {
+    pub fn views(&self, spec: &JobSpec, now: u64) -> Vec<PoolView> {
         self.views_of(&self.pool_load(now), spec, now)
     }
 
     /// What all pools have and are asked for, as every job sees it.
     pub fn pool_load(&self, now: u64) -> PoolLoad {
-        let silence = self.silence();
-        let none = || vec![0.0; self.pools()];
+        let silence = self.report_timeout_ms();
+        let none = || vec![0.0; self.pool_count()];
         let mut all = PoolLoad { load: none(), ordinary: none(), spot: none() };
         for m in self.machines.values() {
-            let p = self.pool(m.zone, m.kind);
-            if m.usable(now, silence) {
+            let p = self.pool_index(m.zone, m.machine_type);
+            if m.is_usable(now, silence) {
                 all.up(p, m.spot);
             }
             all.load[p] += (m.used_cpus / m.cpus).max(m.used_mem / m.mem_gb);
         }
         for b in self.coming(now) {
-            all.up(self.pool(b.zone, b.kind), b.spot);
+            all.up(self.pool_index(b.zone, b.machine_type), b.spot);
         }
         for (_, id) in &self.queue {
             let Some(job) = self.jobs.get(id) else { continue };
-            self.add_routed(&mut all, &job.spec, &job.routed);
+            self.add_routed(&mut all, &job.spec, &job.routed_by_pool);
         }
         all
     }
 
     /// Tasks of a job that were routed.
-    pub fn add_routed(&self, all: &mut PoolLoad, spec: &Spec, routed: &[u32]) {
+    pub fn add_routed(&self, all: &mut PoolLoad, spec: &JobSpec, routed: &[u32]) {
         let kinds = self.flavors.len();
         for (p, n) in routed.iter().enumerate().filter(|(_, n)| **n > 0) {
             all.load[p] += f64::from(*n) * self.share(spec, TypeId::from(p % kinds));
         }
     }
 
-    fn views_of(&self, all: &PoolLoad, spec: &Spec, now: u64) -> Vec<PoolView> {
+    fn views_of(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Vec<PoolView> {
         let mut out = Vec::new();
-        for kind in &spec.types {
+        for kind in &spec.machine_types {
             let share = self.share(spec, *kind);
-            for zone in &self.flavors[kind.ix()].zones {
+            for zone in &self.flavors[kind.index()].zones {
                 if spec.zone.is_some_and(|z| z != *zone) {
                     continue;
                 }
-                let pool = self.pool(*zone, *kind);
-                let rentable = self.fleet.rentable(*kind, *zone, spec.spot, now);
+                let pool = self.pool_index(*zone, *kind);
+                let rentable = self.fleet.is_rentable(*kind, *zone, spec.spot, now);
                 let spot = if spec.spot { all.spot[pool] } else { 0.0 };
                 let up = all.ordinary[pool] + spot + if rentable { 1.0 } else { 0.0 };
-                let run = self.rates.run_s(pool, spec.class, spec.estimate_s);
+                let run = self.run_times.expected_run_s(pool, spec.class, spec.estimate_s);
                 out.push(PoolView {
                     pool,
                     m: up * (1.0 / share + EPS).floor(),
@@ -174,26 +174,26 @@
     }
 
     /// Decides on an arriving job and routes its tasks; Err carries the lowest index.
-    pub fn admit(&self, spec: &Spec, now: u64) -> Result<Vec<u32>, f64> {
+    pub fn admit(&self, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
         self.admit_after(spec, 0.0, now)
     }
 
     /// The same, where what all pools have and are asked for is known: many at once don't look through all
     /// machines and jobs each.
-    pub fn admit_on(&self, all: &PoolLoad, spec: &Spec, now: u64) -> Result<Vec<u32>, f64> {
+    pub fn admit_on(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
         self.admit_views(self.views_of(all, spec, now), spec, 0.0)
     }
 
     /// The same for a job that first waits for others, about so many seconds: the test is on what
     /// that leaves of its deadline.
-    pub fn admit_after(&self, spec: &Spec, wait_s: f64, now: u64) -> Result<Vec<u32>, f64> {
+    pub fn admit_after(&self, spec: &JobSpec, wait_s: f64, now: u64) -> Result<Vec<u32>, f64> {
         self.admit_views(self.views(spec, now), spec, wait_s)
     }
 
     fn admit_views(
         &self,
         mut views: Vec<PoolView>,
-        spec: &Spec,
+        spec: &JobSpec,
         wait_s: f64,
     ) -> Result<Vec<u32>, f64> {
         let theta = match spec.deadline_s {
@@ -205,7 +205,7 @@
         if spec.deadline_s.is_some() && !admits(best, self.settings.tuning.rejection_cost) {
             return Err(nu(best));
         }
-        let mut routed = vec![0; self.pools()];
+        let mut routed = vec![0; self.pool_count()];
         for (v, n) in views.iter().zip(got) {
             routed[v.pool] += n;
         }
@@ -216,7 +216,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::state::rates::Rates;
+    use crate::state::rates::RunTimes;
 
     /// The miss probability by numerical integration, independent of the closed form: the wait
     /// is Erlang(j, mμ), the run exponential, the deadline exponential. P(meet) is
@@ -280,13 +280,13 @@
 
     #[test]
     fn failures_do_not_raise_the_rate_and_routing_fills_evenly() {
-        let mut rates = Rates::new(2, 10.0);
+        let mut rates = RunTimes::new(2, 10.0);
         let class = ClassId(0);
-        assert_eq!(rates.run_s(0, class, 30.0), 30.0);
-        rates.finished(0, class, 10.0);
-        rates.finished(0, class, 20.0);
-        assert_eq!(rates.run_s(0, class, 30.0), 15.0);
-        assert_eq!(rates.run_s(1, class, 30.0), 15.0);
+        assert_eq!(rates.expected_run_s(0, class, 30.0), 30.0);
+        rates.record_run(0, class, 10.0);
+        rates.record_run(0, class, 20.0);
+        assert_eq!(rates.expected_run_s(0, class, 30.0), 15.0);
+        assert_eq!(rates.expected_run_s(1, class, 30.0), 15.0);
         let view = |pool, m| PoolView { pool, m, x: 0.0, mu: 0.05 };
         let (got, _) = route(&mut [view(0, 10.0), view(1, 30.0)], 0.02, 400, 1000);
         assert_eq!(got.iter().sum::<u32>(), 400);
--- a/crates/core/src/admission/shape.rs
+++ b/crates/core/src/admission/shape.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use crate::state::fleet::Flavor;
-use crate::state::job::{EPS, Spec};
+use crate::state::job::{EPS, JobSpec};
 use crate::state::names::*;
 use copperhaven_wire::jobs::{JobBody, JobKind};
 
@@ -17,7 +17,7 @@
     names: &mut Names,
     flavors: &[Flavor],
     settings: &Settings,
-) -> Result<Spec, Never> {
+) -> Result<JobSpec, Never> {
     let never = |why: String| Err(Never(why));
     let Some(team) = names.teams.get(&job.team) else {
         return never(format!("unknown team {}", job.team));
@@ -34,13 +34,13 @@
         .enumerate()
         .filter(|(_, f)| job.machine_types.as_ref().is_none_or(|b| b.contains(&f.label)))
         .filter(|(_, f)| zone.is_none_or(|z| f.zones.contains(&z)))
-        .filter(|(_, f)| job.cpus <= f.cpus && job.gpus <= f.cards && job.mem_gb <= f.mem_gb)
+        .filter(|(_, f)| job.cpus <= f.cpus && job.gpus <= f.gpus && job.mem_gb <= f.mem_gb)
         .map(|(i, _)| TypeId::from(i))
         .collect();
     if types.is_empty() {
         return never("a task fits no allowed machine type".into());
     }
-    let limit = &settings.deployment.teams[team.ix()];
+    let limit = &settings.deployment.teams[team.index()];
     let tasks = if job.kind == JobKind::Array { 1.0 } else { job.tasks as f64 };
     if job.cpus * tasks > limit.cpus_max + EPS || job.gpus * tasks > limit.gpus_max + EPS {
         return never(format!("needs more than the limit of {}", job.team));
@@ -48,7 +48,7 @@
     if job.one_zone && job.spread && job.tasks > 1 && job.kind != JobKind::Array {
         return never("all tasks in one zone, yet at most half of them in one".into());
     }
-    Ok(Spec {
+    Ok(JobSpec {
         uid: job.uid.as_str().into(),
         class: names.classes.intern(&job.class),
         team,
@@ -56,18 +56,18 @@
         precedence: job.priority,
         tasks: job.tasks as u32,
         cpus: job.cpus,
-        cards: job.gpus,
+        gpus: job.gpus,
         mem_gb: job.mem_gb,
         image: names.images.intern(&job.image),
         image_gb: job.image_gb,
-        types,
+        machine_types: types,
         zone,
         one_zone: job.one_zone,
         spread: job.spread,
         spot: job.spot,
         estimate_s: job.estimate_s,
-        checkpoint_s: job.checkpoint_interval_s,
-        save_s: job.checkpoint_save_s,
+        checkpoint_interval_s: job.checkpoint_interval_s,
+        checkpoint_save_s: job.checkpoint_save_s,
         deadline_s: job.deadline_s,
     })
 }
--- a/crates/core/src/caution.rs
+++ b/crates/core/src/caution.rs
@@ -25,7 +25,7 @@
             self.suspect.1 = true;
             self.alone = self.alone.saturating_sub(1);
         } else {
-            (self.alone, self.suspect) = (batch.keys.len(), (batch.apply.len(), false));
+            (self.alone, self.suspect) = (batch.keys.len(), (batch.changes.len(), false));
         }
     }
 
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -3,25 +3,25 @@
 use crate::placement::order::Ranked;
 use crate::placement::pass::Full;
 use crate::placement::slots::Slot;
-use crate::state::cell::Cell;
-use crate::state::fleet::{Kind, LATE};
-use crate::state::job::{EPS, Spec};
-use crate::state::machine::Seen;
+use crate::state::cell::LeaderState;
+use crate::state::fleet::{RentalKind, OVERDUE_COST_FACTOR};
+use crate::state::job::{EPS, JobSpec};
+use crate::state::machine::ObservedState;
 use crate::state::names::*;
-use crate::state::teams::{Split, Usage};
+use crate::state::teams::{UsageByPriority, Usage};
 use copperhaven_fairness::need::DeficitLevel;
 use copperhaven_wire::jobs::JobKind;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-impl Cell {
+impl LeaderState {
     /// How many tasks of the job should run at once to be in time: all of them where a deadline
     /// or guarantee presses, fewer where the class's objective leaves time for more than one
     /// round.
-    fn wanted(&self, spec: &Spec, waiting: u32, guaranteed: bool) -> u32 {
+    fn wanted(&self, spec: &JobSpec, waiting: u32, guaranteed: bool) -> u32 {
         if spec.shape != JobKind::Array || guaranteed || spec.deadline_s.is_some() {
             return waiting;
         }
-        let class = self.names.classes.name(spec.class.ix());
+        let class = self.names.classes.name(spec.class.index());
         let span = self
             .settings
             .deployment
@@ -30,46 +30,46 @@
             .filter(|o| o.class.as_deref() == Some(class))
             .filter_map(|o| o.within_s)
             .fold(self.settings.tuning.default_span_s, f64::min);
-        let run = self.rates.run_s(usize::MAX, spec.class, spec.estimate_s);
+        let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
         let rounds = (span * 0.5 / run).floor().clamp(1.0, 8.0);
         (f64::from(waiting) / rounds).ceil() as u32
     }
 
     /// Guests take what is left: as long as their work may still be in time no dear machine is
     /// rented for it, if a cheap one will do.
-    fn spares(&self, spec: &Spec, born: i64, now: u64) -> bool {
+    fn spares(&self, spec: &JobSpec, born: i64, now: u64) -> bool {
         let waited = (now as i64 - born) as f64 / 1000.0;
-        let guest = self.settings.deployment.teams[spec.team.ix()].is_guest();
+        let guest = self.settings.deployment.teams[spec.team.index()].is_guest();
         guest && spec.spot && waited * self.theta(spec) < 1.0
     }
 
     /// What to rent now: the work that waits is laid onto free and booting machines in the order
     /// in which it is served; what finds no place is given the cheapest machines that fit it.
-    pub fn demand(&self, now: u64) -> Vec<(Kind, u32)> {
+    pub fn demand(&self, now: u64) -> Vec<(RentalKind, u32)> {
         self.demand_and_kept(now).0
     }
 
     /// The same, and the machines on which jobs that are soon ready were laid.
-    pub(crate) fn demand_and_kept(&self, now: u64) -> (Vec<(Kind, u32)>, HashSet<MachineId>) {
+    pub(crate) fn demand_and_kept(&self, now: u64) -> (Vec<(RentalKind, u32)>, HashSet<MachineId>) {
         let mut kept = HashSet::new();
         // After a takeover places that are there all the same count, though they were not heard of yet.
         let mut slots: Vec<Slot> = self.slots(now).into_iter().chain(self.expected(now)).collect();
         for s in &mut slots {
             // A machine held for a job gets free for it once the tasks there have stopped.
             if s.reserved.is_some() {
-                let f = &self.flavors[s.kind.ix()];
-                (s.cpus, s.cards, s.mem_gb) = (f.cpus, f.cards, f.mem_gb);
+                let f = &self.flavors[s.kind.index()];
+                (s.cpus, s.cards, s.mem_gb) = (f.cpus, f.gpus, f.mem_gb);
             }
         }
-        let fresh = |(kind, zone, spot): Kind, mid: u32| {
-            let f = &self.flavors[kind.ix()];
+        let fresh = |(kind, zone, spot): RentalKind, mid: u32| {
+            let f = &self.flavors[kind.index()];
             Slot {
                 mid: MachineId(mid),
                 kind,
                 zone,
                 spot,
                 cpus: f.cpus,
-                cards: f.cards,
+                cards: f.gpus,
                 mem_gb: f.mem_gb,
                 images: Default::default(),
                 record: usize::MAX,
@@ -82,27 +82,27 @@
             let Some(m) = self.machines.get(&s.mid).filter(|_| s.reserved.is_none()) else {
                 continue;
             };
-            for ((id, _), e) in &m.entries {
+            for ((id, _), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                let run = self.rates.run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
-                let ran = now.saturating_sub(e.running_at) as f64 / 1000.0;
-                let running = e.seen == Seen::Running && job.spec.shape != JobKind::Service;
-                if e.stop.is_some() || (running && run - ran < boot) {
+                let run = self.run_times.expected_run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
+                let ran = now.saturating_sub(e.running_since) as f64 / 1000.0;
+                let running = e.observed == ObservedState::Running && job.spec.shape != JobKind::Service;
+                if e.stop_requested.is_some() || (running && run - ran < boot) {
                     s.take_back(&job.spec);
                 }
             }
         }
         let dark = self.dark_zones();
         let (_, late) = self.overdue(now);
-        for b in self.coming(now).into_iter().filter(|b| !dark[b.zone.ix()]) {
-            slots.push(fresh((b.kind, b.zone, b.spot), u32::MAX));
+        for b in self.coming(now).into_iter().filter(|b| !dark[b.zone.index()]) {
+            slots.push(fresh((b.machine_type, b.zone, b.spot), u32::MAX));
         }
         for r in self.fleet.rentals.values().filter(|r| !r.resolved) {
             for _ in 0..r.number {
-                slots.push(fresh(r.what, u32::MAX));
+                slots.push(fresh(r.kind, u32::MAX));
             }
         }
-        let mut out: BTreeMap<Kind, u32> = BTreeMap::new();
+        let mut out: BTreeMap<RentalKind, u32> = BTreeMap::new();
         // Demands for which no place was left: whoever needs as much need not look.
         let mut full = Full::default();
         let tight = |cpus: f64| (cpus * 1000.0) as i64;
@@ -120,8 +120,8 @@
             of.sort_by_key(|i| tight(slots[*i].cpus));
         }
         // By priority: a team's lower work makes way for its higher.
-        let split = |s: &Split| -> [Usage; 4] { std::array::from_fn(|p| s.at(p)) };
-        let mut used: Vec<[Usage; 4]> = self.teams.splits().map(split).collect();
+        let split = |s: &UsageByPriority| -> [Usage; 4] { std::array::from_fn(|p| s.total_at(p)) };
+        let mut used: Vec<[Usage; 4]> = self.team_usage.usages_by_priority().map(split).collect();
         let needs = self.who_needs();
         // Then those that are ready by the time a machine rented now is up.
         let soon: Vec<Ranked> = self
@@ -136,26 +136,26 @@
         for r in self.ranked(&needs, now).into_iter().chain(soon) {
             let Some(job) = self.jobs.get(&r.id) else { continue };
             let spec = &job.spec;
-            let early = !job.awaits.is_empty();
+            let early = !job.pending_dependencies.is_empty();
             // What may be on a machine already needs no other.
-            if job.waiting.is_empty() || now < job.retry_at || self.may_be_hidden(job) {
+            if job.waiting.is_empty() || now < job.retry_at || self.may_be_on_unreadable_machine(job) {
                 continue;
             }
-            let team = &self.settings.deployment.teams[spec.team.ix()];
+            let team = &self.settings.deployment.teams[spec.team.index()];
             let room = |max: f64, used: f64, need: f64| {
                 if need <= 0.0 { 1e6 } else { ((max - used + EPS) / need).floor().max(0.0) }
             };
             // By need work of any precedence may go before: then nothing makes way for certain, and a
             // machine would only wait until the team's limit lets it be used.
             let last = if needs.has_any() { 3 } else { spec.precedence as usize };
-            let above = &mut used[spec.team.ix()][..=last];
+            let above = &mut used[spec.team.index()][..=last];
             let cpus = above.iter().map(|u| u.cpus).sum();
-            let cards = above.iter().map(|u| u.cards).sum();
+            let cards = above.iter().map(|u| u.gpus).sum();
             let quota =
-                room(team.cpus_max, cpus, spec.cpus).min(room(team.gpus_max, cards, spec.cards))
+                room(team.cpus_max, cpus, spec.cpus).min(room(team.gpus_max, cards, spec.gpus))
                     as u32;
             let failing = job.is_failing() && spec.shape != JobKind::Gang;
-            if failing && !job.onto.is_empty() {
+            if failing && !job.placement_counts.is_empty() {
                 continue;
             }
             let waiting = if failing { 1 } else { job.waiting.len() };
@@ -165,7 +165,7 @@
             }
             let u = &mut above[spec.precedence as usize];
             u.cpus += spec.cpus * f64::from(n);
-            u.cards += spec.cards * f64::from(n);
+            u.gpus += spec.gpus * f64::from(n);
             // The fullest that fits, so that whole machines stay free; what is kept for the job before all.
             let own = kept_for.get(&r.id).into_iter().flatten().copied();
             let mut found: Vec<(usize, u32)> = vec![];
@@ -200,24 +200,24 @@
             if n == 0 {
                 continue;
             }
-            let mut best: Option<(f64, usize, Kind, u32, u32)> = None;
-            for kind in &spec.types {
-                let f = &self.flavors[kind.ix()];
+            let mut best: Option<(f64, usize, RentalKind, u32, u32)> = None;
+            for kind in &spec.machine_types {
+                let f = &self.flavors[kind.index()];
                 for zone in &f.zones {
-                    if spec.zone.is_some_and(|z| z != *zone) || dark[zone.ix()] {
+                    if spec.zone.is_some_and(|z| z != *zone) || dark[zone.index()] {
                         continue;
                     }
                     for spot in [true, false] {
                         let what = (*kind, *zone, spot);
-                        if (spot && !spec.spot) || self.fleet.paused(&what, now) {
+                        if (spot && !spec.spot) || self.fleet.is_backing_off(&what, now) {
                             continue;
                         }
-                        if !spot && self.spares(spec, job.since, now) {
+                        if !spot && self.spares(spec, job.eligible_mono_ms, now) {
                             continue;
                         }
                         let each = fresh(what, 0).fits(spec).max(1);
                         let machines = n.div_ceil(each);
-                        let late = if late.contains(&(*kind, *zone)) { LATE } else { 1.0 };
+                        let late = if late.contains(&(*kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
                         let price = f64::from(machines) * f.price(spot).max(1e-6) * late;
                         let busy = out.get(&what).copied().unwrap_or(0) as usize;
                         if best.is_none_or(|(p, b, ..)| (price, busy) < (p, b)) {
--- a/crates/core/src/fleet/standing.rs
+++ b/crates/core/src/fleet/standing.rs
@@ -1,11 +1,11 @@
 //! What is kept up where every machine type boots too slowly for the objectives.
 
-use crate::state::cell::Cell;
-use crate::state::fleet::{Kind, LATE};
+use crate::state::cell::LeaderState;
+use crate::state::fleet::{RentalKind, OVERDUE_COST_FACTOR};
 use crate::state::job::EPS;
 use crate::state::names::*;
 
-impl Cell {
+impl LeaderState {
     /// The shortest time within which an objective wants work to start.
     fn start_span(&self) -> Option<f64> {
         let kinds = ["wait", "guarantee"];
@@ -19,7 +19,7 @@
     /// keep machines up themselves want that, though: where they give none, machines are meant to
     /// be there for work alone, and money is spent on nothing else.
     fn boots_late(&self) -> bool {
-        if self.fleet.provided.is_none_or(|n| n == 0) {
+        if self.fleet.provided_machines.is_none_or(|n| n == 0) {
             return false;
         }
         let quickest = self.flavors.iter().map(|f| f.boot_s).fold(f64::MAX, f64::min);
@@ -36,16 +36,16 @@
         let up: f64 =
             self.machines.values().filter(|m| !m.faulty && !m.leaving).map(|m| m.cpus).sum();
         let booting = self.coming(now);
-        let coming = booting.iter().map(|b| (b.kind, 1));
+        let coming = booting.iter().map(|b| (b.machine_type, 1));
         let asked = self.fleet.rentals.values().filter(|r| !r.resolved);
         let coming: f64 = coming
-            .chain(asked.map(|r| (r.what.0, r.number)))
-            .map(|(kind, n)| self.flavors[kind.ix()].cpus * f64::from(n))
+            .chain(asked.map(|r| (r.kind.0, r.number)))
+            .map(|(kind, n)| self.flavors[kind.index()].cpus * f64::from(n))
             .sum();
         want - up - coming
     }
 
-    pub(crate) fn standing_rental(&self, now: u64) -> Option<(Kind, u32)> {
+    pub(crate) fn standing_rental(&self, now: u64) -> Option<(RentalKind, u32)> {
         let gap = self.standing_gap(now);
         let busy = self.fleet.rentals.values().any(|r| !r.resolved);
         if gap <= EPS || busy {
@@ -53,20 +53,20 @@
         }
         let dark = self.dark_zones();
         let (_, late) = self.overdue(now);
-        let mut best: Option<(f64, Kind, u32)> = None;
+        let mut best: Option<(f64, RentalKind, u32)> = None;
         for (i, f) in self.flavors.iter().enumerate() {
             let kind = TypeId::from(i);
             if f.cpus <= 0.0 {
                 continue;
             }
-            for zone in f.zones.iter().filter(|z| !dark[z.ix()]) {
+            for zone in f.zones.iter().filter(|z| !dark[z.index()]) {
                 for spot in [false, true] {
                     let what = (kind, *zone, spot);
                     // Ordinary machines serve everybody; spot ones only if nothing else is left.
-                    let late = if late.contains(&(kind, *zone)) { LATE } else { 1.0 };
+                    let late = if late.contains(&(kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
                     let price = f.hourly * late / f.cpus + if spot { 1e6 } else { 0.0 };
                     let number = (gap / f.cpus).ceil().clamp(1.0, 8.0) as u32;
-                    if !self.fleet.paused(&what, now) && best.is_none_or(|b| price < b.0) {
+                    if !self.fleet.is_backing_off(&what, now) && best.is_none_or(|b| price < b.0) {
                         best = Some((price, what, number));
                     }
                 }
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -1,6 +1,6 @@
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::fleet::*;
-use crate::state::ledger::Key;
+use crate::state::ledger::RecordKey;
 use crate::state::names::*;
 
 #[test]
@@ -9,9 +9,9 @@
     // what was booting counted as coming for ever.
     let mut c = crate::for_tests::cell();
     let (small, north, south) = (TypeId(0), ZoneId(0), ZoneId(1));
-    let boot = |c: &mut Cell, name: &str, zone: ZoneId, since: u64| {
+    let boot = |c: &mut LeaderState, name: &str, zone: ZoneId, since: u64| {
         let (spot, known) = (false, since);
-        let b = Booting { kind: small, zone, spot, since, known, listed: 0, missed: 0 };
+        let b = Booting { machine_type: small, zone, spot, requested_at: since, known_since: known, last_listed_at: 0, missed_lists: 0 };
         c.fleet.booting.insert(name.into(), b);
     };
     boot(&mut c, "n-1", north, 0);
@@ -21,7 +21,7 @@
     }
     // An old machine that a new leader learns of from the list is just about to report.
     boot(&mut c, "n-9", south, 0);
-    c.fleet.booting.get_mut("n-9").expect("there").known = 90_000;
+    c.fleet.booting.get_mut("n-9").expect("there").known_since = 90_000;
     assert_eq!((c.overdue(93_000).0, c.coming(93_000).len()), (vec!["n-1"], 1));
     c.fleet.booting.remove("n-9");
     // A boot seen since shows that the place is well, another is late all the same.
@@ -30,7 +30,7 @@
     boot(&mut c, "n-2", south, 1_000);
     assert_eq!(c.coming(40_000).len(), 2);
     // One comes up at last. What is lately seen counts: others may take as long.
-    c.fleet.came_up("n-2", 61_000);
+    c.fleet.finish_boot("n-2", 61_000);
     boot(&mut c, "n-3", south, 70_000);
     // The one that never came is given back in the end.
     c.plan_returns(121_000);
@@ -63,7 +63,7 @@
         c.insert_job(spec.expect("valid"), body, 0, 100_000 - waited as i64);
         for zone in [ZoneId(0), ZoneId(1)] {
             for kind in [TypeId(0), TypeId(1)] {
-                c.fleet.refused((kind, zone, true), 100_000);
+                c.fleet.back_off((kind, zone, true), 100_000);
             }
         }
         assert_eq!(c.demand(100_000).is_empty(), only_cheap, "case {i}");
@@ -75,12 +75,12 @@
 #[test]
 fn a_rental_is_asked_for_once_at_a_time_and_only_when_recorded() {
     let mut c = crate::for_tests::cell();
-    c.fleet.provided = Some(0);
+    c.fleet.provided_machines = Some(0);
     let kind = (TypeId(0), ZoneId(0), false);
     for name in ["r-7-1", "r-7-2", "r-7-3"] {
-        let ver = c.touch(Key::Rental(name.into()));
+        let ver = c.mark_dirty(RecordKey::Rental(name.into()));
         let rental =
-            Rental { what: kind, number: 2, ver, retry_at: 0, asking: false, resolved: false };
+            Rental { kind, number: 2, ver, retry_at: 0, in_flight: false, resolved: false };
         c.fleet.rentals.insert(name.into(), rental);
     }
     assert!(c.due_rentals(0, 9).is_empty(), "not before they are recorded");
--- a/crates/core/src/for_tests.rs
+++ b/crates/core/src/for_tests.rs
@@ -3,9 +3,9 @@
 use crate::admission::shape::admit_shape;
 use crate::records::{Change, Cond, JobRecord};
 use crate::settings::Settings;
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::fleet::Flavor;
-use crate::state::ledger::Key;
+use crate::state::ledger::RecordKey;
 use crate::state::names::*;
 use crate::workers::reports::Taken;
 use copperhaven_wire::cloud::WireMachineType;
@@ -17,12 +17,12 @@
 pub const TERM: u64 = 7;
 pub const T0: u64 = 100_000;
 
-pub fn cell() -> Cell {
+pub fn cell() -> LeaderState {
     let settings = Arc::new(sample());
     let mut names = Names::new(&settings);
     let flavors = flavors(&mut names);
     let leader = Cond { path: "c/leader".into(), stamp: 50 };
-    Cell::new(settings, TERM, leader, T0, names, flavors)
+    LeaderState::new(settings, TERM, leader, T0, names, flavors)
 }
 
 /// The record of an open job that waits for nothing.
@@ -31,30 +31,30 @@
     JobRecord { job, at: T0, cancelled: false, waits: None, since: None }
 }
 
-pub fn add_job(c: &mut Cell, uid: &str, edit: fn(&mut JobBody)) -> JobId {
+pub fn add_job(c: &mut LeaderState, uid: &str, edit: fn(&mut JobBody)) -> JobId {
     let mut body = body(uid);
     edit(&mut body);
     let settings = c.settings.clone();
     let flavors = c.flavors.clone();
     let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, body, T0, T0 as i64);
-    let ver = c.touch(Key::Job(id));
+    let ver = c.mark_dirty(RecordKey::Job(id));
     c.jobs.get_mut(&id).expect("there").accept_ver = ver;
     id
 }
 
 /// Everything dirty is recorded.
-pub fn commit(c: &mut Cell) -> Vec<Change> {
+pub fn commit(c: &mut LeaderState) -> Vec<Change> {
     let mut out = vec![];
     let mut rev = 1000;
     while let Some(batch) = c.batch(16) {
         assert_eq!(
-            batch.when[0], c.ledger.leader,
+            batch.conditions[0], c.write_queue.leader_condition,
             "every transaction is conditional on the leader key"
         );
         rev += 1;
         c.applied(&batch, rev);
-        out.extend(batch.apply);
+        out.extend(batch.changes);
     }
     out
 }
@@ -88,7 +88,7 @@
 }
 
 /// A job's spec, without a job.
-pub fn spec(uid: &str, edit: fn(&mut JobBody)) -> crate::state::job::Spec {
+pub fn spec(uid: &str, edit: fn(&mut JobBody)) -> crate::state::job::JobSpec {
     let mut body = body(uid);
     edit(&mut body);
     let mut c = cell();
@@ -97,11 +97,11 @@
 }
 
 /// Takes a report in, places, records, and returns the orders of its response.
-pub fn exchange(c: &mut Cell, r: &Report, now: u64) -> Vec<Order> {
+pub fn exchange(c: &mut LeaderState, r: &Report, now: u64) -> Vec<Order> {
     let Taken::Answer(mid) = c.on_report(r, now) else { panic!("not answered") };
     c.place(now);
     commit(c);
-    c.check();
+    c.check_invariants();
     c.orders(mid, (r.session, r.sequence), now, true).expect("orders").orders
 }
 
--- a/crates/core/src/pipelines/awaits.rs
+++ b/crates/core/src/pipelines/awaits.rs
@@ -1,8 +1,8 @@
 //! Taking in a job that waits for others.
 
-use crate::state::cell::Cell;
-use crate::state::job::{Job, Spec, Wait, span_ms};
-use crate::state::ledger::Key;
+use crate::state::cell::LeaderState;
+use crate::state::job::{Job, JobSpec, WaitReason, secs_to_ms};
+use crate::state::ledger::RecordKey;
 use crate::state::names::*;
 use crate::state::served;
 use copperhaven_wire::jobs::{JobBody, JobKind};
@@ -46,22 +46,22 @@
     Service(String),
 }
 
-impl Cell {
+impl LeaderState {
     fn named(&self, uid: &str) -> Named {
         let Some((id, job)) = self.job(uid) else {
-            return match self.finals.get(uid) {
-                _ if self.aside.job(uid).is_some() => Named::Unrecorded,
+            return match self.final_records.get(uid) {
+                _ if self.unreadable.job_reason(uid).is_some() => Named::Unrecorded,
                 Some(f) if f.done => Named::Done,
                 Some(_) => Named::Cancelled,
                 None => Named::Unknown,
             };
         };
-        let saved = |v: Option<u64>| v.is_some_and(|v| self.is_saved(&Key::Job(id), v));
+        let saved = |v: Option<u64>| v.is_some_and(|v| self.is_saved(&RecordKey::Job(id), v));
         match () {
-            () if !self.accepted(id, job) || job.doubt => Named::Unrecorded,
+            () if !self.is_accepted(id, job) || job.outcome_unknown => Named::Unrecorded,
             () if job.spec.shape == JobKind::Service => Named::Service,
             () if saved(job.cancel_ver) => Named::Cancelled,
-            () if job.cancelled() => Named::Open,
+            () if job.is_cancelled() => Named::Open,
             () if saved(job.final_ver) => Named::Done,
             () => Named::Open,
         }
@@ -103,7 +103,7 @@
     /// one that it names is cancelled.
     pub fn take_in(
         &mut self,
-        spec: Spec,
+        spec: JobSpec,
         body: JobBody,
         (open, dead): (Vec<Arc<str>>, bool),
         at: u64,
@@ -111,16 +111,16 @@
     ) -> JobId {
         let id = self.insert_job(spec, body, at, now as i64);
         self.split_links(id, &open);
-        let ver = self.touch(Key::Job(id));
+        let ver = self.mark_dirty(RecordKey::Job(id));
         if let Some(job) = self.jobs.get_mut(&id) {
             job.accept_ver = ver;
         }
-        if let Some(pair) = self.jobs.get(&id).map(|j| served::pair(&j.spec)) {
-            self.service.job_accepted(pair);
+        if let Some(pair) = self.jobs.get(&id).map(|j| served::fairness_pair(&j.spec)) {
+            self.fairness_ledger.job_accepted(pair);
         }
         if dead {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.derived = true;
+                job.cancelled_by_dependency = true;
             }
             self.cancel(id, now);
         } else if !open.is_empty() {
@@ -137,49 +137,49 @@
             return;
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let room = self.ledger.value_limit.saturating_sub(self.empty_record_bytes(&job.body));
+        let room = self.write_queue.value_limit.saturating_sub(self.record_bytes_without_dependencies(&job.body));
         let rest = on.get(room / ID_BYTES..).unwrap_or(&[]);
-        let each = ((self.ledger.value_limit - FRAME_BYTES) / ID_BYTES).max(1);
+        let each = ((self.write_queue.value_limit - FRAME_BYTES) / ID_BYTES).max(1);
         let uid = job.spec.uid.clone();
         let mut parts = 0;
         for (part, list) in (0u32..).zip(rest.chunks(each)) {
             // Left over from a submission that was never accepted.
-            self.ledger.clean(&Key::Drop(format!("a/{uid}/{part}")));
-            self.links.parts.insert((uid.clone(), part), list.to_vec());
-            self.touch(Key::Links(id, part));
+            self.write_queue.clear_dirty(&RecordKey::Delete(format!("a/{uid}/{part}")));
+            self.dependencies.parts.insert((uid.clone(), part), list.to_vec());
+            self.mark_dirty(RecordKey::DependencyPart(id, part));
             parts = part + 1;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.parts = parts;
+            job.dependency_parts = parts;
         }
     }
 
     /// Makes a job wait for others: it is in no queue, and uses nothing.
     pub fn park(&mut self, id: JobId, on: Vec<Arc<str>>, now: u64) {
-        let wait = span_ms(self.expected_wait(&on, now));
+        let wait = secs_to_ms(self.expected_wait(&on, now));
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let turn = (job.turn_at, id);
-        job.eta += (now as i64 - job.born) + wait;
-        job.awaits = on.into_iter().collect();
-        job.routed.iter_mut().for_each(|r| *r = 0);
-        job.wait = Wait::Others;
-        let (awaits, spec, due) = (job.awaits.clone(), job.spec.clone(), job.due);
+        let turn = (job.eligible_at_ms, id);
+        job.eta += (now as i64 - job.accepted_mono_ms) + wait;
+        job.pending_dependencies = on.into_iter().collect();
+        job.routed_by_pool.iter_mut().for_each(|r| *r = 0);
+        job.wait_reason = WaitReason::Dependencies;
+        let (awaits, spec, due) = (job.pending_dependencies.clone(), job.spec.clone(), job.effective_deadline);
         self.queue.remove(&turn);
-        self.service.remove_job(served::key(id));
-        let due = due.map(|d| d - self.run_ms(id));
+        self.fairness_ledger.remove_job(served::fairness_job(id));
+        let due = due.map(|d| d - self.expected_run_ms(id));
         for uid in awaits {
-            self.links.needed.entry(uid.clone()).or_default().push(id);
+            self.dependencies.dependents.entry(uid.clone()).or_default().push(id);
             match self.job(&uid) {
                 None => {
-                    self.links.unread.insert(uid.clone());
+                    self.dependencies.unread_outcomes.insert(uid.clone());
                 }
-                Some((_, job)) if job.cancelled() && self.named(&uid) == Named::Cancelled => {
-                    self.links.decide(uid.clone(), false);
+                Some((_, job)) if job.is_cancelled() && self.named(&uid) == Named::Cancelled => {
+                    self.dependencies.record_outcome(uid.clone(), false);
                 }
                 Some((_, job)) => {
-                    let sooner = due.is_some_and(|d| job.due.is_none_or(|own| d < own));
+                    let sooner = due.is_some_and(|d| job.effective_deadline.is_none_or(|own| d < own));
                     if sooner || spec.precedence < job.spec.precedence {
-                        self.links.raise.push_back((uid, spec.precedence, due));
+                        self.dependencies.pending_raises.push_back((uid, spec.precedence, due));
                     }
                 }
             }
@@ -190,10 +190,10 @@
     /// which they are.
     pub fn soon_ready(&self, within_s: f64, now: u64) -> Vec<JobId> {
         let mut soon: Vec<(i64, JobId)> = vec![];
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.open() && !j.awaits.is_empty()) {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_open() && !j.pending_dependencies.is_empty()) {
             // The last of many is told by the first that is far away.
             let mut ready = 0;
-            for uid in job.awaits.iter().take(TOLD) {
+            for uid in job.pending_dependencies.iter().take(TOLD) {
                 ready =
                     ready.max(self.job(uid).map_or(i64::MAX, |(id, j)| self.over_at(id, j, now)));
             }
@@ -207,9 +207,9 @@
 
     /// When a job is expected to be done, if all of its tasks have a place already.
     fn over_at(&self, id: JobId, job: &Job, now: u64) -> i64 {
-        if !job.awaits.is_empty() || !job.waiting.is_empty() {
+        if !job.pending_dependencies.is_empty() || !job.waiting.is_empty() {
             return i64::MAX;
         }
-        now.max(job.placed_at + self.run_ms(id).max(0) as u64) as i64
+        now.max(job.placed_at + self.expected_run_ms(id).max(0) as u64) as i64
     }
 }
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -3,7 +3,7 @@
 use crate::admission::shape::admit_shape;
 use crate::for_tests::{add_job, cell, commit, exchange, record, report};
 use crate::records::{Change, FinalRecord, LinksRecord, Record, Waits};
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::names::*;
 use crate::takeover::{Records, rebuild};
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
@@ -17,7 +17,7 @@
 }
 
 /// A job that waits for others, as a submission takes it in.
-fn add_waiting(c: &mut Cell, uid: &str, on: &[&str], edit: fn(&mut JobBody)) -> JobId {
+fn add_waiting(c: &mut LeaderState, uid: &str, on: &[&str], edit: fn(&mut JobBody)) -> JobId {
     let names = match c.look_at_awaits(&ids(on), &HashMap::new()) {
         Awaits::Open(open) => (open, false),
         Awaits::Cancelled => (vec![], true),
@@ -30,14 +30,14 @@
     c.take_in(spec, body, names, T0, T0)
 }
 
-fn finish(c: &mut Cell, uid: &str) {
-    let id = c.jobs.id(uid).expect("known");
+fn finish(c: &mut LeaderState, uid: &str) {
+    let id = c.jobs.id_of(uid).expect("known");
     for task in 0..c.jobs[&id].spec.tasks {
         c.task_done(id, task);
     }
 }
 
-fn status(c: &Cell, uid: &str) -> String {
+fn status(c: &LeaderState, uid: &str) -> String {
     c.show(uid).map_or("none".into(), |s| s.status)
 }
 
@@ -66,19 +66,19 @@
 }
 
 /// A successor that has read the records, and how those ended that are open no more.
-fn successor(store: &BTreeMap<String, Record>) -> Cell {
+fn successor(store: &BTreeMap<String, Record>) -> LeaderState {
     let mut c = cell();
     rebuild(&mut c, records(store), T0, T0);
     c
 }
 
-fn read_ends(c: &mut Cell, store: &BTreeMap<String, Record>) {
-    for uid in c.links.unread(1000) {
+fn read_ends(c: &mut LeaderState, store: &BTreeMap<String, Record>) {
+    for uid in c.dependencies.next_unread_outcomes(1000) {
         let last = match store.get(&format!("f/{uid}")) {
             Some(Record::Final(FinalRecord { done, .. })) => Some(*done),
             _ => None,
         };
-        c.links.read(&uid, last);
+        c.dependencies.resolve_outcome(&uid, last);
     }
     c.follow(T0);
 }
@@ -98,24 +98,24 @@
     // It is in no queue: not ranked, no load, no place, no machines rented.
     assert!(
         c.ranked(&c.who_needs(), T0).iter().all(|r| r.id != id)
-            && c.jobs[&id].routed.iter().all(|r| *r == 0)
+            && c.jobs[&id].routed_by_pool.iter().all(|r| *r == 0)
     );
     finish(&mut c, "wk-1");
     commit(&mut c);
     c.follow(T0);
     finish(&mut c, "wk-2");
     c.follow(T0 + 1);
-    assert!(!c.jobs[&id].awaits.is_empty(), "done, but that is not recorded yet");
+    assert!(!c.jobs[&id].pending_dependencies.is_empty(), "done, but that is not recorded yet");
     commit(&mut c);
     c.follow(T0 + 5000);
-    assert!(c.jobs[&id].awaits.is_empty());
+    assert!(c.jobs[&id].pending_dependencies.is_empty());
     exchange(&mut c, &report(1, 1, 7, &[]), T0 + 5000);
     let mut c2 = cell();
     std::mem::swap(&mut c, &mut c2);
     // Its own record says so before it starts: placed only once that is safe.
     let orders = exchange(&mut c2, &report(1, 2, 7, &[]), T0 + 5500);
     assert_eq!(orders.len(), 2, "{orders:?}");
-    assert_eq!(c2.jobs[&id].since, T0 as i64 + 5000);
+    assert_eq!(c2.jobs[&id].eligible_mono_ms, T0 as i64 + 5000);
 }
 
 #[test]
@@ -204,14 +204,14 @@
         }
         finish(&mut c, "wk-7");
         apply(&mut store, commit(&mut c));
-        c.cancel(c.jobs.id("wk-1").expect("known"), T0);
+        c.cancel(c.jobs.id_of("wk-1").expect("known"), T0);
         c.follow(T0);
         assert_eq!(status(&c, "wk-5"), "queued", "nobody was told yet");
         if crash != "before the record" {
             // One transaction: the cancelled job's record and no more.
             let batch = c.batch(2).expect("the cancelled job's record");
             c.applied(&batch, 5000);
-            apply(&mut store, batch.apply);
+            apply(&mut store, batch.changes);
             c.follow(T0);
             for uid in ["wk-1", "wk-2", "wk-3", "wk-4", "wk-5"] {
                 assert_eq!(status(&c, uid), "aborted", "{uid}");
@@ -229,13 +229,13 @@
             }
         }
         assert_eq!(status(&c, "wk-6"), "queued");
-        assert!(c.jobs[&c.jobs.id("wk-6").expect("known")].awaits.is_empty(), "7 was done");
+        assert!(c.jobs[&c.jobs.id_of("wk-6").expect("known")].pending_dependencies.is_empty(), "7 was done");
         for _ in 0..10 {
             commit(&mut c);
             c.follow(T0);
         }
         if crash != "before the record" {
-            assert!(c.finals.get("wk-5").is_some_and(|f| !f.done));
+            assert!(c.final_records.get("wk-5").is_some_and(|f| !f.done));
             // One that names a cancelled job is accepted, and aborted.
             let named = c.look_at_awaits(&ids(&["wk-5"]), &HashMap::new());
             assert_eq!(named, Awaits::Cancelled);
@@ -243,7 +243,7 @@
             commit(&mut c);
             assert_eq!(status(&c, "wk-8"), "aborted");
         }
-        c.check();
+        c.check_invariants();
     }
 }
 
@@ -255,11 +255,11 @@
     add_waiting(&mut c, "wk-2", &["wk-1"], |_| ());
     commit(&mut c);
     finish(&mut c, "wk-1");
-    c.cancel(c.jobs.id("wk-1").expect("known"), T0);
+    c.cancel(c.jobs.id_of("wk-1").expect("known"), T0);
     commit(&mut c);
     c.follow(T0);
     assert_eq!((status(&c, "wk-1").as_str(), status(&c, "wk-2").as_str()), ("done", "queued"));
-    assert!(c.jobs[&c.jobs.id("wk-2").expect("known")].awaits.is_empty());
+    assert!(c.jobs[&c.jobs.id_of("wk-2").expect("known")].pending_dependencies.is_empty());
 }
 
 #[test]
@@ -277,22 +277,22 @@
                 (b.tasks, b.deadline_s, b.priority) = (1, None, Priority::Low);
             });
             c.park(id, on.to_vec(), T0);
-            c.applied_for_test(id);
+            c.mark_job_saved_for_test(id);
         }
         // The last one's priority flows back to the first, some steps at a time.
-        let last = c.jobs.id(format!("wk-{n}").as_str()).expect("known");
+        let last = c.jobs.id_of(format!("wk-{n}").as_str()).expect("known");
         let id = add_job(&mut c, "wk-9999", |b| b.priority = Priority::High);
         c.park(id, vec![c.jobs[&last].spec.uid.clone()], T0);
-        c.applied_for_test(id);
-        let rounds = |c: &mut Cell| {
+        c.mark_job_saved_for_test(id);
+        let rounds = |c: &mut LeaderState| {
             for _ in 0..n / STEPS + 3 {
                 c.follow(T0);
             }
         };
         rounds(&mut c);
-        let first = c.jobs.id("wk-0").expect("known");
+        let first = c.jobs.id_of("wk-0").expect("known");
         assert_eq!(c.jobs[&first].spec.precedence, Priority::High);
-        assert!(c.jobs[&first].due.is_some());
+        assert!(c.jobs[&first].effective_deadline.is_some());
         c.cancel(first, T0);
         let batch = c.batch(16).expect("its record");
         c.applied(&batch, 9000);
@@ -300,7 +300,7 @@
         for i in [1, n / 2, n] {
             assert_eq!(status(&c, &format!("wk-{i}")), "aborted");
         }
-        assert!(c.ledger.unwritten() <= CALM + 1, "their ends are recorded when there is time");
+        assert!(c.write_queue.dirty_count() <= CALM + 1, "their ends are recorded when there is time");
     }
 }
 
@@ -308,12 +308,12 @@
 fn long_lists_are_split_over_records_that_fit() {
     for n in [10, 60, 400] {
         let mut c = cell();
-        c.ledger.value_limit = 2048;
+        c.write_queue.value_limit = 2048;
         let mut uids = vec![];
         for i in 0..n {
             let uid = format!("wk-{i:020}");
             let id = add_job(&mut c, &uid, |b| b.tasks = 1);
-            c.applied_for_test(id);
+            c.mark_job_saved_for_test(id);
             uids.push(uid);
         }
         let names: Vec<&str> = uids.iter().map(String::as_str).collect();
@@ -322,14 +322,14 @@
         let mut seen = false;
         for rev in 0..200 {
             let Some(batch) = c.batch(5) else { break };
-            assert!(batch.apply.iter().all(|x| x.bytes() <= 2048));
+            assert!(batch.changes.iter().all(|x| x.bytes() <= 2048));
             c.applied(&batch, 3000 + rev);
-            seen |= batch.apply.iter().any(|x| x.path() == "j/wk-1");
-            apply(&mut store, batch.apply);
+            seen |= batch.changes.iter().any(|x| x.path() == "j/wk-1");
+            apply(&mut store, batch.changes);
             // Accepted means that all of its links are recorded.
             let parts = store.keys().filter(|p| p.starts_with("a/")).count();
             assert_eq!(seen, c.show("wk-1").is_some());
-            assert!(!seen || parts as u32 == c.jobs[&c.jobs.id("wk-1").expect("known")].parts);
+            assert!(!seen || parts as u32 == c.jobs[&c.jobs.id_of("wk-1").expect("known")].dependency_parts);
         }
         assert!(seen);
         let listed = |v: &Record| match v {
@@ -339,7 +339,7 @@
         };
         assert_eq!(store.values().map(listed).sum::<usize>(), n);
         let c = successor(&store);
-        assert_eq!(c.jobs[&c.jobs.id("wk-1").expect("known")].awaits.len(), n);
+        assert_eq!(c.jobs[&c.jobs.id_of("wk-1").expect("known")].pending_dependencies.len(), n);
     }
     // Parts of a submission that was never accepted are removed, unless it comes again.
     let part = LinksRecord { on: ids(&["wk-8"]) };
@@ -355,7 +355,7 @@
         add_job(&mut c, uid, |b| (b.deadline_s, b.tasks) = (None, 1));
     }
     commit(&mut c);
-    let before = c.jobs[&c.jobs.id("wk-1").expect("known")].due;
+    let before = c.jobs[&c.jobs.id_of("wk-1").expect("known")].effective_deadline;
     assert_eq!(before, None);
     add_waiting(&mut c, "wk-3", &["wk-1"], |b| b.deadline_s = None);
     commit(&mut c);
@@ -363,9 +363,9 @@
         (b.priority, b.deadline_s) = (Priority::High, Some(90.0));
     });
     commit(&mut c);
-    let standing = |c: &Cell, uid: &str| {
-        let j = &c.jobs[&c.jobs.id(uid).expect("known")];
-        (j.spec.precedence, j.due.map(|d| d - T0 as i64))
+    let standing = |c: &LeaderState, uid: &str| {
+        let j = &c.jobs[&c.jobs.id_of(uid).expect("known")];
+        (j.spec.precedence, j.effective_deadline.map(|d| d - T0 as i64))
     };
     // Each has to be done a run of 20 s before the next.
     assert_eq!(standing(&c, "wk-4"), (Priority::High, Some(90_000)));
@@ -375,12 +375,12 @@
     // What its tasks use is counted under the new priority.
     exchange(&mut c, &report(1, 1, 7, &[]), T0);
     exchange(&mut c, &report(1, 2, 7, &[]), T0 + 500);
-    c.check();
+    c.check_invariants();
     c.cancel(last, T0 + 600);
     c.follow(T0 + 600);
     assert_eq!(standing(&c, "wk-3"), (Priority::Low, None), "nobody needs it any more");
     assert_eq!(standing(&c, "wk-1"), (Priority::Low, None));
-    c.check();
+    c.check_invariants();
 }
 
 #[test]
@@ -394,7 +394,7 @@
     let wait = c.expected_wait(&[Arc::from("wk-1")], T0);
     assert_eq!(wait, 50.0);
     assert_eq!(c.expected_wait(&[], T0), 0.0);
-    let spec = c.jobs[&c.jobs.id("wk-1").expect("known")].spec.clone();
+    let spec = c.jobs[&c.jobs.id_of("wk-1").expect("known")].spec.clone();
     let mut spec = (*spec).clone();
     (spec.estimate_s, spec.deadline_s) = (20.0, Some(60.0));
     // 20 s of work in 60 s; 50 of them gone, the same work is mostly late.
@@ -412,7 +412,7 @@
     // hundreds of CPUs became ready, and new ones boot for 20 s.
     for waits in [true, false] {
         let mut c = cell();
-        c.fleet.provided = Some(0);
+        c.fleet.provided_machines = Some(0);
         add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.estimate_s) = (1, 4.0, 30.0));
         commit(&mut c);
         if waits {
@@ -427,7 +427,7 @@
         };
         exchange(&mut c, &from(1, 1), T0);
         exchange(&mut c, &from(2, 1), T0);
-        let on: Vec<usize> = c.machines.values().map(|m| m.entries.len()).collect();
+        let on: Vec<usize> = c.machines.values().map(|m| m.assignments.len()).collect();
         assert_eq!(on.iter().sum::<usize>(), 1, "what waits has no place");
         // (after so many seconds, is it soon ready, is the idle machine given back?)
         for (after, soon) in [(15, false), (25, true)] {
@@ -453,8 +453,8 @@
     r.job.machine_types = Some(vec![]);
     store.insert("j/wk-2".to_string(), Record::Job(Box::new(r)));
     let mut c = successor(&store);
-    let id = c.jobs.id("wk-2").expect("known");
-    assert_eq!(c.jobs[&id].spec.types, [TypeId(1)]);
+    let id = c.jobs.id_of("wk-2").expect("known");
+    assert_eq!(c.jobs[&id].spec.machine_types, [TypeId(1)]);
     assert!(c.queue.is_empty() && status(&c, "wk-2") == "none");
     // A job that is open under other settings only is waited for.
     read_ends(&mut c, &store);
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -1,67 +1,67 @@
 //! Gangs: all their places at once, or none.
 
 use crate::placement::slots::Slot;
-use crate::state::cell::Cell;
-use crate::state::job::{Spec, Wait};
-use crate::state::machine::RESERVE_MS;
+use crate::state::cell::LeaderState;
+use crate::state::job::{JobSpec, WaitReason};
+use crate::state::machine::RESERVATION_MS;
 use crate::state::names::*;
 use std::collections::{BTreeMap, HashMap};
 
-impl Cell {
+impl LeaderState {
     pub(crate) fn place_gang(
         &mut self,
         id: JobId,
-        spec: &Spec,
+        spec: &JobSpec,
         slots: &mut [Slot],
         now: u64,
         no_place: bool,
-    ) -> Wait {
+    ) -> WaitReason {
         let job = &self.jobs[&id];
-        if !job.onto.is_empty() {
+        if !job.placement_counts.is_empty() {
             // A replacement joins the attempt only while the others still wait for it.
             let places: Vec<_> = self
                 .machines
                 .values()
-                .flat_map(|m| m.entries.range((id, 0)..=(id, u32::MAX)).map(|(_, e)| e))
+                .flat_map(|m| m.assignments.range((id, 0)..=(id, u32::MAX)).map(|(_, e)| e))
                 .collect();
-            if job.started || places.iter().any(|e| e.stop.is_some()) {
-                return Wait::Stopping;
+            if job.gang_started || places.iter().any(|e| e.stop_requested.is_some()) {
+                return WaitReason::Stopping;
             }
-            if places.iter().any(|e| e.inherited) {
-                return Wait::Absence;
+            if places.iter().any(|e| e.unconfirmed) {
+                return WaitReason::UnheardMachine;
             }
         }
         let need = job.waiting.len();
         if !self.limit_within_reach(spec, need) {
-            return Wait::TeamLimit;
+            return WaitReason::TeamLimit;
         }
         if no_place {
-            return Wait::NoRoom;
+            return WaitReason::NoRoom;
         }
         let order = self.candidates(id, spec, slots);
         let Some(plan) = self.gang_plan(id, spec, slots, &order, need) else {
-            return Wait::NoRoom;
+            return WaitReason::NoRoom;
         };
         if self.team_room(spec) < need {
             // The team's lower work is stopped only when there is room to gain by it, and that room
             // is kept meanwhile; else both would be taken again at once, over and over.
             if !self.make_team_room(id, spec, now) {
-                return Wait::TeamLimit;
+                return WaitReason::TeamLimit;
             }
             for (i, _) in plan {
                 slots[i].reserved = Some(id);
                 if let Some(m) = self.machines.get_mut(&slots[i].mid) {
-                    m.reserved = Some((id, now + RESERVE_MS));
+                    m.reserved = Some((id, now + RESERVATION_MS));
                 }
             }
-            return Wait::Stopping;
+            return WaitReason::Stopping;
         }
-        let attempt = match self.jobs[&id].attempt {
-            a if a > 0 && !self.jobs[&id].onto.is_empty() => a,
+        let attempt = match self.jobs[&id].gang_attempt {
+            a if a > 0 && !self.jobs[&id].placement_counts.is_empty() => a,
             _ => self.new_attempt(),
         };
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.attempt = attempt;
+            job.gang_attempt = attempt;
         }
         for (i, n) in plan {
             let tasks: Vec<u32> = self.jobs[&id].waiting.first(n);
@@ -82,7 +82,7 @@
                 m.reserved = None;
             }
         }
-        Wait::Image
+        WaitReason::Image
     }
 
     /// Where all `need` tasks fit at once: one pool if any has the room, else (unless the job
@@ -90,7 +90,7 @@
     fn gang_plan(
         &self,
         id: JobId,
-        spec: &Spec,
+        spec: &JobSpec,
         slots: &[Slot],
         order: &[usize],
         need: u32,
@@ -99,12 +99,12 @@
         let mut zones: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         let mut first: Vec<usize> = vec![];
         for i in order {
-            let pool = self.pool(slots[*i].zone, slots[*i].kind);
+            let pool = self.pool_index(slots[*i].zone, slots[*i].kind);
             if !groups.contains_key(&pool) {
                 first.push(pool);
             }
             groups.entry(pool).or_default().push(*i);
-            zones.entry(slots[*i].zone.ix()).or_default().push(*i);
+            zones.entry(slots[*i].zone.index()).or_default().push(*i);
         }
         let mut tries: Vec<&[usize]> = first.iter().map(|p| groups[p].as_slice()).collect();
         tries.extend(zones.values().map(|v| v.as_slice()));
--- a/crates/core/src/placement/limit_tests.rs
+++ b/crates/core/src/placement/limit_tests.rs
@@ -1,9 +1,9 @@
 //! What is stopped for a team's limit: gathered once in a pass, against looking through all that runs each time.
 
 use crate::for_tests::{T0, TERM, add_job, cell, commit, report};
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::job::EPS;
-use crate::state::machine::{Entry, Seen};
+use crate::state::machine::{Assignment, ObservedState};
 use crate::state::names::*;
 use crate::state::teams::Usage;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
@@ -12,16 +12,16 @@
 use rand::{Rng, SeedableRng};
 
 /// The plain search: all machines, each time. What would be lost, and how much is freed. None: too little.
-fn plainly(c: &Cell, asker: JobId, lack: Usage, now: u64) -> Option<(f64, f64)> {
+fn plainly(c: &LeaderState, asker: JobId, lack: Usage, now: u64) -> Option<(f64, f64)> {
     let (spec, guaranteed) = (&c.jobs[&asker].spec, c.jobs[&asker].guaranteed);
     let mut all: Vec<(f64, f64)> = vec![];
     for m in c.machines.values() {
-        for ((id, _), e) in &m.entries {
+        for ((id, _), e) in &m.assignments {
             let v = &c.jobs[id].spec;
             let lower = v.team == spec.team
                 && v.precedence > spec.precedence
                 && (guaranteed || !c.jobs[id].guaranteed);
-            if lower && v.shape != JobKind::Gang && e.stop.is_none() {
+            if lower && v.shape != JobKind::Gang && e.stop_requested.is_none() {
                 all.push((c.lost_s(v, e, now), v.cpus));
             }
         }
@@ -51,7 +51,7 @@
 ];
 
 /// A cell whose machines run tasks of all these jobs since various times.
-fn busy(rng: &mut StdRng) -> (Cell, Vec<JobId>, Vec<MachineId>, u64) {
+fn busy(rng: &mut StdRng) -> (LeaderState, Vec<JobId>, Vec<MachineId>, u64) {
     let mut c = cell();
     let now = T0 + 100_000;
     let jobs: Vec<JobId> = JOBS
@@ -59,7 +59,7 @@
         .enumerate()
         .map(|(n, edit)| {
             let id = add_job(&mut c, &format!("wk-{n}"), *edit);
-            c.applied_for_test(id);
+            c.mark_job_saved_for_test(id);
             c.jobs.get_mut(&id).expect("there").guaranteed = rng.random_bool(0.3);
             id
         })
@@ -68,17 +68,17 @@
     for n in 0..12 {
         let r = Report { machine: format!("n-{n}"), ..report(1, 1, TERM, &[]) };
         c.on_report(&r, T0);
-        mids.push(c.machines.id(format!("n-{n}").as_str()).expect("there"));
+        mids.push(c.machines.id_of(format!("n-{n}").as_str()).expect("there"));
     }
     for mid in &mids {
         for _ in 0..rng.random_range(0..4) {
             let id = jobs[rng.random_range(0..jobs.len())];
             let task = c.jobs[&id].waiting.first(1);
             let Some(task) = task.first() else { continue };
-            let mut e = Entry::new(1, 0, T0);
-            e.seen = Seen::Running;
-            e.mark = Some((1, 1));
-            e.running_at = T0 + rng.random_range(0..90_000);
+            let mut e = Assignment::new(1, 0, T0);
+            e.observed = ObservedState::Running;
+            e.run_sent_with = Some((1, 1));
+            e.running_since = T0 + rng.random_range(0..90_000);
             c.attach(*mid, id, *task, e);
         }
     }
@@ -112,14 +112,14 @@
         let high = add_job(&mut c, "wk-2", edit);
         for _ in 0..100 {
             now += 300;
-            c.stir = true;
+            c.placement_pending = true;
             c.place(now);
             commit(&mut c);
             let gone: Vec<(MachineId, JobId, u32)> = c
                 .machines
                 .iter()
-                .flat_map(|(mid, m)| m.entries.iter().map(move |(k, e)| (*mid, *k, e)))
-                .filter(|(.., e)| e.stop.is_some())
+                .flat_map(|(mid, m)| m.assignments.iter().map(move |(k, e)| (*mid, *k, e)))
+                .filter(|(.., e)| e.stop_requested.is_some())
                 .map(|(mid, (id, task), _)| (mid, id, task))
                 .collect();
             for (mid, id, task) in gone {
@@ -127,7 +127,7 @@
             }
         }
         let stopped = c.jobs[&low].preempted + c.jobs[&high].preempted;
-        let on = [low, high].map(|id| c.jobs[&id].onto.len());
+        let on = [low, high].map(|id| c.jobs[&id].placement_counts.len());
         assert!(stopped <= 8, "{what}: stopped {stopped} times, {on:?}");
         assert!(on[0] == 8, "{what}: {on:?}");
     }
@@ -145,12 +145,12 @@
         for _ in 0..6 {
             let asker = jobs[rng.random_range(2..5)];
             let spec = c.jobs[&asker].spec.clone();
-            let lack = Usage { cpus: rng.random_range(0..8) as f64 * 0.5, cards: 0.0 };
+            let lack = Usage { cpus: rng.random_range(0..8) as f64 * 0.5, gpus: 0.0 };
             let plain = plainly(&c, asker, lack, now);
             let stops = c.stops_for((&spec, c.jobs[&asker].guaranteed), lack, now);
             let sum = stops.as_ref().map(|all| {
                 let lost: f64 = all.iter().map(|s| s.lost_s).sum();
-                (lost, all.iter().map(|s| s.uses.cpus).sum::<f64>())
+                (lost, all.iter().map(|s| s.usage.cpus).sum::<f64>())
             });
             match (plain, sum) {
                 (Some(a), Some(b)) => {
@@ -165,11 +165,11 @@
             none += usize::from(stops.is_none());
             for s in stops.into_iter().flatten() {
                 several += 1;
-                c.stop_task(s.mid, s.id, s.task, now, 0.0);
+                c.stop_task(s.machine_id, s.id, s.task, now, 0.0);
             }
             // Meanwhile some are stopped for others, leave, or are placed.
             let mid = mids[rng.random_range(0..mids.len())];
-            let there: Vec<(JobId, u32)> = c.machines[&mid].entries.keys().copied().collect();
+            let there: Vec<(JobId, u32)> = c.machines[&mid].assignments.keys().copied().collect();
             if let Some((id, task)) = there.first().copied() {
                 if rng.random_bool(0.5) {
                     c.stop_task(mid, id, task, now, 0.0);
@@ -182,7 +182,7 @@
                 let attempt = c.new_attempt();
                 c.assign(mid, id, *task, attempt, now);
             }
-            c.check();
+            c.check_invariants();
         }
     }
     assert!(some > 300 && none > 100 && several > 200, "{some} {none} {several}");
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -1,76 +1,76 @@
 //! Teams' limits: what of them is left, and work that is stopped for them.
 
-use crate::state::cell::Cell;
-use crate::state::job::{EPS, Spec};
+use crate::state::cell::LeaderState;
+use crate::state::job::{EPS, JobSpec};
 use crate::state::names::*;
 use crate::state::served;
 use crate::state::teams::{Stoppable, StoppableGroup, Usage};
 use copperhaven_wire::jobs::JobKind;
 
-impl Cell {
+impl LeaderState {
     /// How many more tasks of this shape the team's limit allows.
-    pub fn team_room(&self, spec: &Spec) -> u32 {
-        let team = &self.settings.deployment.teams[spec.team.ix()];
-        let (mut used, held) = (self.teams.usage(spec.team), self.teams.held(spec.team));
+    pub fn team_room(&self, spec: &JobSpec) -> u32 {
+        let team = &self.settings.deployment.teams[spec.team.index()];
+        let (mut used, held) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
         used.cpus += held.cpus;
-        used.cards += held.cards;
+        used.gpus += held.gpus;
         let part = |max: f64, used: f64, need: f64| {
             if need <= 0.0 { 1e6 } else { ((max - used + EPS) / need).floor().clamp(0.0, 1e6) }
         };
-        part(team.cpus_max, used.cpus, spec.cpus).min(part(team.gpus_max, used.cards, spec.cards))
+        part(team.cpus_max, used.cpus, spec.cpus).min(part(team.gpus_max, used.gpus, spec.gpus))
             as u32
     }
 
     /// Keeps so much of the team's limit for this job that those served after it don't take what
     /// gets free.
-    pub(crate) fn hold_limit(&mut self, id: JobId, spec: &Spec) {
+    pub(crate) fn hold_limit(&mut self, id: JobId, spec: &JobSpec) {
         let n = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
         let n = if spec.shape == JobKind::Array { n.min(1.0) } else { n };
-        self.teams.hold(spec, n);
+        self.team_usage.hold(spec, n);
     }
 
     /// Would the team's limit allow `n` tasks if all its lower work were stopped? Gangs are not
     /// stopped for it.
-    pub(crate) fn limit_within_reach(&self, spec: &Spec, n: u32) -> bool {
-        let team = &self.settings.deployment.teams[spec.team.ix()];
-        let mut used = self.teams.held(spec.team);
-        let split = self.teams.split(spec.team);
-        let above = &split.single[..=spec.precedence as usize];
+    pub(crate) fn limit_within_reach(&self, spec: &JobSpec, n: u32) -> bool {
+        let team = &self.settings.deployment.teams[spec.team.index()];
+        let mut used = self.team_usage.held(spec.team);
+        let split = self.team_usage.usage_by_priority(spec.team);
+        let above = &split.non_gang[..=spec.precedence as usize];
         for u in above.iter().chain(&split.gang) {
             used.cpus += u.cpus;
-            used.cards += u.cards;
+            used.gpus += u.gpus;
         }
         used.cpus + spec.cpus * f64::from(n) <= team.cpus_max + EPS
-            && used.cards + spec.cards * f64::from(n) <= team.gpus_max + EPS
+            && used.gpus + spec.gpus * f64::from(n) <= team.gpus_max + EPS
     }
 
     /// Does the team have work of lower priority on machines, gangs apart? Only that is stopped for
     /// its limit.
-    pub(crate) fn lower_work(&self, spec: &Spec) -> bool {
-        let lower = &self.teams.split(spec.team).single[spec.precedence as usize + 1..];
-        lower.iter().any(|u| u.cpus > EPS || u.cards > EPS)
+    pub(crate) fn lower_work(&self, spec: &JobSpec) -> bool {
+        let lower = &self.team_usage.usage_by_priority(spec.team).non_gang[spec.precedence as usize + 1..];
+        lower.iter().any(|u| u.cpus > EPS || u.gpus > EPS)
     }
 
     /// A team's tasks that could be stopped for its limit, by class and priority: gathered once in a pass, when somebody
     /// first asks. Looking through all machines for each job that waits took 60% of the controllers' processor time in a
     /// flood.
     fn gather_stoppable(&mut self, team: TeamId, now: u64) {
-        if self.stoppable.len() < self.teams.len() {
-            self.stoppable.resize(self.teams.len(), None);
+        if self.stoppable.len() < self.team_usage.len() {
+            self.stoppable.resize(self.team_usage.len(), None);
         }
-        if self.stoppable[team.ix()].is_some() {
+        if self.stoppable[team.index()].is_some() {
             return;
         }
         let mut groups: Vec<StoppableGroup> = Vec::new();
         for (mid, m) in &self.machines {
-            for ((id, task), e) in &m.entries {
+            for ((id, task), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                if job.spec.team == team && job.spec.shape != JobKind::Gang && e.stop.is_none() {
+                if job.spec.team == team && job.spec.shape != JobKind::Gang && e.stop_requested.is_none() {
                     let lost_s = self.lost_s(&job.spec, e, now);
                     let at = (*mid, *id, *task, e.attempt);
                     StoppableGroup::add(
                         &mut groups,
-                        (served::pair(&job.spec), job.guaranteed),
+                        (served::fairness_pair(&job.spec), job.guaranteed),
                         &job.spec,
                         at,
                         lost_s,
@@ -81,25 +81,25 @@
         for g in &mut groups {
             g.tasks.sort_by(|a, b| b.lost_s.total_cmp(&a.lost_s));
         }
-        self.stoppable[team.ix()] = Some(groups);
+        self.stoppable[team.index()] = Some(groups);
     }
 
     /// What is to be stopped of a team, the cheapest first, so that so much more of its limit is free. None: there is
     /// too little.
     pub(crate) fn stops_for(
         &mut self,
-        (spec, guaranteed): (&Spec, bool),
+        (spec, guaranteed): (&JobSpec, bool),
         lack: Usage,
         now: u64,
     ) -> Option<Vec<Stoppable>> {
-        let enough = |lack: Usage| lack.cpus <= EPS && lack.cards <= EPS;
+        let enough = |lack: Usage| lack.cpus <= EPS && lack.gpus <= EPS;
         if enough(lack) {
             return Some(vec![]);
         }
         self.gather_stoppable(spec.team, now);
-        let own = self.needs.class_deficit(served::pair(spec));
-        let Cell { stoppable, needs, machines, .. } = self;
-        let groups = stoppable[spec.team.ix()].iter_mut().flatten();
+        let own = self.needs.class_deficit(served::fairness_pair(spec));
+        let LeaderState { stoppable, needs, machines, .. } = self;
+        let groups = stoppable[spec.team.index()].iter_mut().flatten();
         // Nobody makes room who is as much in need as the one that wants it, or is served before it: what that one runs
         // within the guarantee would take the room again, over and over, and neither would ever be done.
         let lower = |g: &&mut StoppableGroup| {
@@ -108,8 +108,8 @@
                 && !needs.class_deficit(g.pair).is_protected_from(own)
         };
         let mut groups: Vec<&mut StoppableGroup> = groups.filter(lower).collect();
-        let all = |f: fn(&Usage) -> f64| groups.iter().map(|g| f(&g.uses)).sum::<f64>();
-        if lack.cpus > all(|u| u.cpus) + EPS || lack.cards > all(|u| u.cards) + EPS {
+        let all = |f: fn(&Usage) -> f64| groups.iter().map(|g| f(&g.usage)).sum::<f64>();
+        if lack.cpus > all(|u| u.cpus) + EPS || lack.gpus > all(|u| u.gpus) + EPS {
             return None;
         }
         // Of each so many are left to choose from. Some have left or been stopped since they were gathered.
@@ -122,31 +122,31 @@
                 .min_by(|a, b| cheapest(a).total_cmp(&cheapest(b)))?;
             left[next] -= 1;
             let s = groups[next].tasks[left[next]];
-            let there = machines.get(&s.mid).and_then(|m| m.entries.get(&(s.id, s.task)));
+            let there = machines.get(&s.machine_id).and_then(|m| m.assignments.get(&(s.id, s.task)));
             // One that left and was placed there again is listed twice.
-            if there.is_some_and(|e| e.stop.is_none() && e.attempt == s.attempt) {
-                lack.cpus -= s.uses.cpus;
-                lack.cards -= s.uses.cards;
+            if there.is_some_and(|e| e.stop_requested.is_none() && e.attempt == s.attempt) {
+                lack.cpus -= s.usage.cpus;
+                lack.gpus -= s.usage.gpus;
                 stops.push(s);
             }
         }
         for (g, n) in groups.iter_mut().zip(left) {
-            g.keep(n);
+            g.truncate(n);
         }
         Some(stops)
     }
 
     /// A job that waits for its own team's limit has the team's work of lower priority stopped,
     /// the cheapest first. Returns whether it now waits for tasks that are being stopped.
-    pub(crate) fn make_team_room(&mut self, id: JobId, spec: &Spec, now: u64) -> bool {
+    pub(crate) fn make_team_room(&mut self, id: JobId, spec: &JobSpec, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
-        let team = &self.settings.deployment.teams[spec.team.ix()];
+        let team = &self.settings.deployment.teams[spec.team.index()];
         let n = if spec.shape == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
-        let (used, held) = (self.teams.usage(spec.team), self.teams.held(spec.team));
-        let stopping = self.teams.stopping(spec.team);
+        let (used, held) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
+        let stopping = self.team_usage.stopping(spec.team);
         let lack = Usage {
             cpus: used.cpus + held.cpus + spec.cpus * n - team.cpus_max - stopping.cpus,
-            cards: used.cards + held.cards + spec.cards * n - team.gpus_max - stopping.cards,
+            gpus: used.gpus + held.gpus + spec.gpus * n - team.gpus_max - stopping.gpus,
         };
         let guaranteed = job.guaranteed;
         let Some(stops) = self.stops_for((spec, guaranteed), lack, now) else { return false };
@@ -158,12 +158,12 @@
             let grace = self
                 .jobs
                 .get(&s.id)
-                .map_or(0.0, |v| if v.spec.checkpoint_s > 0.0 { v.spec.save_s + 1.0 } else { 0.0 });
-            self.count_stop(s.mid, s.id, s.task, now);
+                .map_or(0.0, |v| if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 });
+            self.count_stop(s.machine_id, s.id, s.task, now);
             if let Some(v) = self.jobs.get_mut(&s.id) {
                 v.preempted += 1;
             }
-            self.stop_task(s.mid, s.id, s.task, now, grace);
+            self.stop_task(s.machine_id, s.id, s.task, now, grace);
         }
         self.hold_limit(id, spec);
         true
--- a/crates/core/src/placement/need_tests.rs
+++ b/crates/core/src/placement/need_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::for_tests::{T0, TERM, add_job, cell, commit, report};
 use crate::records::{Record, SERVICE, ServiceRecord};
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::names::*;
 use crate::state::served;
 use crate::takeover::{Records, rebuild};
@@ -14,7 +14,7 @@
 const LATE: u64 = 68_000;
 
 /// Machines `n-1`… of four CPUs.
-fn machines(c: &mut Cell, count: u32, now: u64) {
+fn machines(c: &mut LeaderState, count: u32, now: u64) {
     for n in 1..=count {
         let r = Report { machine: format!("n-{n}"), ..report(1, now, TERM, &[]) };
         c.on_report(&r, now);
@@ -22,11 +22,11 @@
 }
 
 /// What runs by the lists reports so.
-fn all_run(c: &mut Cell, now: u64) {
+fn all_run(c: &mut LeaderState, now: u64) {
     let on: Vec<(String, Vec<(String, u64)>)> = (c.machines.values())
         .map(|m| {
-            let parcel = |(id, t): &(JobId, u32), a| (c.parcel(*id, *t), a);
-            (m.name.clone(), m.entries.iter().map(|(k, e)| parcel(k, e.attempt)).collect())
+            let parcel = |(id, t): &(JobId, u32), a| (c.task_id(*id, *t), a);
+            (m.name.clone(), m.assignments.iter().map(|(k, e)| parcel(k, e.attempt)).collect())
         })
         .collect();
     for (name, parcels) in on {
@@ -36,12 +36,12 @@
     }
 }
 
-fn running(c: &Cell, id: JobId) -> u32 {
-    c.jobs[&id].onto.values().sum()
+fn running(c: &LeaderState, id: JobId) -> u32 {
+    c.jobs[&id].placement_counts.values().sum()
 }
 
 /// The names of the jobs in the order in which they are served.
-fn order(c: &Cell, now: u64) -> Vec<String> {
+fn order(c: &LeaderState, now: u64) -> Vec<String> {
     c.ranked(&c.who_needs(), now)
         .iter()
         .map(|r| c.jobs[&r.id].spec.uid.trim_start_matches("wk-").into())
@@ -63,23 +63,23 @@
     {
         add_job(&mut c, uid, edit);
     }
-    c.pass_service(T0);
+    c.advance_fairness(T0);
     let calm = ["2", "3", "1", "4", "5"];
     assert_eq!(order(&c, T0), calm, "nobody is in need");
     // Late, but `rush` (aim 600 s) is not: the team's class goes first in the places that it has, least
     // work first. One late job of blue's alone is no famine, nor are guests ever first.
-    c.pass_service(T0 + LATE);
-    assert!(c.service.has_underserved());
+    c.advance_fairness(T0 + LATE);
+    assert!(c.fairness_ledger.has_underserved());
     let ranked = order(&c, T0 + LATE);
     assert_eq!(ranked, ["3", "1", "2", "4", "5"]);
     // What blue has done doesn't help what red has not.
     for n in 10..16 {
         let uid = format!("wk-{n}");
         let id = add_job(&mut c, &uid, blue);
-        c.jobs.get_mut(&id).expect("there").since = T0 as i64;
-        c.open_service(id);
+        c.jobs.get_mut(&id).expect("there").eligible_mono_ms = T0 as i64;
+        c.open_fairness(id);
     }
-    c.pass_service(T0 + LATE);
+    c.advance_fairness(T0 + LATE);
     machines(&mut c, 8, T0 + LATE);
     // Now blue is in need as well and has nothing: it goes before red beyond what both have of their
     // shares, side by side.
@@ -111,8 +111,8 @@
             let old = T0 as i64 - 500_000;
             for n in 3..9 {
                 let id = add_job(&mut c, &format!("wk-{n}"), |b| b.class = "large".into());
-                let pair = served::pair(&c.jobs[&large].spec);
-                c.service.job_opened(served::key(id), pair, old, 600_000);
+                let pair = served::fairness_pair(&c.jobs[&large].spec);
+                c.fairness_ledger.job_opened(served::fairness_job(id), pair, old, 600_000);
                 c.jobs.get_mut(&id).expect("there").retry_at = u64::MAX;
             }
         }
@@ -121,11 +121,11 @@
         c.place(now);
         let kept = c.machines.values().filter(|m| m.reserved.is_some_and(|(id, _)| id == large));
         assert_eq!(kept.count(), if need { 2 } else { 0 }, "a quarter of the machines at most");
-        assert!(c.machines.values().all(|m| m.entries.values().all(|e| e.stop.is_none())));
+        assert!(c.machines.values().all(|m| m.assignments.values().all(|e| e.stop_requested.is_none())));
         // One task on each machine is done: nothing small goes where it is kept free.
         let ids: Vec<MachineId> = c.machines.keys().copied().collect();
         for mid in &ids {
-            let (id, task) = *c.machines[mid].entries.keys().next().expect("full");
+            let (id, task) = *c.machines[mid].assignments.keys().next().expect("full");
             c.detach(*mid, id, task);
             c.task_done(id, task);
         }
@@ -134,7 +134,7 @@
         assert_eq!(full, if need { 6 } else { 8 });
         // All has run out there: it is placed, and what was kept is free again.
         for mid in &ids {
-            for (id, task) in c.machines[mid].entries.keys().copied().collect::<Vec<_>>() {
+            for (id, task) in c.machines[mid].assignments.keys().copied().collect::<Vec<_>>() {
                 c.detach(*mid, id, task);
                 c.task_done(id, task);
             }
@@ -142,7 +142,7 @@
         c.place(now + 200);
         assert_eq!(running(&c, large), 4);
         assert!(c.machines.values().all(|m| m.reserved.is_none_or(|(id, _)| id != large)));
-        c.check();
+        c.check_invariants();
     }
 }
 
@@ -161,24 +161,24 @@
         c.place(T0);
         commit(&mut c);
         all_run(&mut c, T0 + 1);
-        c.service.task_preempted(served::pair(&c.jobs[&low].spec), lost);
+        c.fairness_ledger.task_preempted(served::fairness_pair(&c.jobs[&low].spec), lost);
         // Somebody else is in need; on other days nothing is bounded.
         let other = (copperhaven_fairness::Team(2), copperhaven_fairness::Class(9));
         for n in (0..9).filter(|_| overload) {
-            c.service.job_opened(copperhaven_fairness::Job(900 + n), other, 0, 1000);
+            c.fairness_ledger.job_opened(copperhaven_fairness::Job(900 + n), other, 0, 1000);
         }
         add_job(&mut c, "wk-2", |b| {
             (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 1, 4.0, Priority::High);
         });
         commit(&mut c);
         c.place(T0 + 2000);
-        let n = c.machines.values().flat_map(|m| m.entries.values());
+        let n = c.machines.values().flat_map(|m| m.assignments.values());
         assert_eq!(
-            n.filter(|e| e.stop.is_some()).count(),
+            n.filter(|e| e.stop_requested.is_some()).count(),
             if stopped { 4 } else { 0 },
             "{overload} {lost}"
         );
-        let counted = c.service.team_class(served::pair(&c.jobs[&low].spec)).expect("counted");
+        let counted = c.fairness_ledger.team_class(served::fairness_pair(&c.jobs[&low].spec)).expect("counted");
         assert_eq!(counted.preempted, if stopped { 5 } else { 1 });
     }
 }
@@ -187,11 +187,11 @@
 fn deficits_outlive_a_leader() {
     let mut c = cell();
     let id = add_job(&mut c, "wk-1", |b| b.deadline_s = None);
-    let pair = served::pair(&c.jobs[&id].spec);
-    c.pass_service(T0);
-    (0..40).for_each(|_| c.service.submission_refused(pair, copperhaven_fairness::ledger::Refusal::Memory));
-    c.service.task_preempted(pair, 9_000.0);
-    c.record_service();
+    let pair = served::fairness_pair(&c.jobs[&id].spec);
+    c.advance_fairness(T0);
+    (0..40).for_each(|_| c.fairness_ledger.submission_refused(pair, copperhaven_fairness::ledger::Refusal::Memory));
+    c.fairness_ledger.task_preempted(pair, 9_000.0);
+    c.record_fairness();
     let mut read = Records::default();
     for change in commit(&mut c) {
         let crate::records::Change::Put { put, v, .. } = change else { continue };
@@ -214,25 +214,25 @@
     read.service.push((format!("{SERVICE}1"), ServiceRecord { rows: vec![odd, known] }, 7));
     let mut heir = cell();
     rebuild(&mut heir, read, T0, T0);
-    let row = heir.service.team_class(pair).expect("carried");
+    let row = heir.fairness_ledger.team_class(pair).expect("carried");
     assert_eq!((row.refused, row.preempted, row.open), ([0, 40], 1, 1));
-    assert!(!heir.service.can_lose_work(pair.1, 0.05), "what was lost is not forgotten");
-    heir.pass_service(T0 + LATE);
-    assert_eq!(heir.service.team_class(pair).map(|r| r.late), Some(1));
-    heir.check();
+    assert!(!heir.fairness_ledger.can_lose_work(pair.1, 0.05), "what was lost is not forgotten");
+    heir.advance_fairness(T0 + LATE);
+    assert_eq!(heir.fairness_ledger.team_class(pair).map(|r| r.late), Some(1));
+    heir.check_invariants();
 }
 
 #[test]
 fn the_ledger_is_recorded_in_values_that_fit_the_most_served_first() {
     let mut c = cell();
-    let class = |c: &mut Cell, n: usize| c.names.classes.intern(&format!("class-{n:0>60}"));
+    let class = |c: &mut LeaderState, n: usize| c.names.classes.intern(&format!("class-{n:0>60}"));
     for n in 0..600 {
         let class = class(&mut c, n);
         let pair = (copperhaven_fairness::Team(0), copperhaven_fairness::Class(class.0));
-        c.service.task_completed(pair, n as f64 * 1000.0);
+        c.fairness_ledger.task_completed(pair, n as f64 * 1000.0);
     }
     let most = 2000;
-    let parts = served::parts(&c.service, &c.names, most);
+    let parts = served::record_parts(&c.fairness_ledger, &c.names, most);
     assert_eq!(parts.len(), 8);
     for rows in &parts {
         assert!(Record::Service(ServiceRecord { rows: rows.clone() }).bytes() <= most);
@@ -247,15 +247,15 @@
     let mut settings = (*c.settings).clone();
     settings.deployment.limits.mem_mb = 56.0;
     c.settings = settings.into();
-    let team = |c: &Cell, name: &str| c.names.teams.get(name).expect("known");
+    let team = |c: &LeaderState, name: &str| c.names.teams.get(name).expect("known");
     let (guest, red) = (team(&c, "guest"), team(&c, "red"));
     let mut taken = 0;
-    while c.has_room(guest, 100_000) {
+    while c.has_memory_for(guest, 100_000) {
         taken += 1;
         let uid = ["wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-7", "wk-8", "wk-9", "wk-10"]
             [taken % 10];
         add_job(&mut c, uid, |b| (b.team, b.tasks) = ("guest".into(), 100_000));
     }
     assert!((1..=9).contains(&taken), "{taken}");
-    assert!(!c.has_room(guest, 100_000) && c.has_room(red, 1_000) && c.has_room(red, 10_000));
+    assert!(!c.has_memory_for(guest, 100_000) && c.has_memory_for(red, 1_000) && c.has_memory_for(red, 10_000));
 }
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -1,6 +1,6 @@
 //! The order in which jobs are served.
 
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::job::{EPS, Job};
 use crate::state::names::*;
 use crate::state::served;
@@ -59,13 +59,13 @@
     }
 }
 
-impl Cell {
+impl LeaderState {
     /// Open jobs in the order in which they are served: those within their team's guarantee first,
     /// those of teams without one last, then by precedence. Among equals, those that can still be in time and have the least work
     /// left go first; a job that has waited for three times its span goes before all of them. Where
     /// a team or a class is served too little, that order is changed (`copperhaven_fairness::need`).
     pub fn ranked(&self, needs: &Deficits, now: u64) -> Vec<Ranked> {
-        let mut used = vec![(0.0, 0.0); self.teams.len()];
+        let mut used = vec![(0.0, 0.0); self.team_usage.len()];
         let mut open = self.queue.iter().filter_map(|(_, id)| self.jobs.get(id));
         // What is used is only added up where it matters.
         let any = open.any(|job| self.must_begin(job, now));
@@ -73,12 +73,12 @@
         let mut places: Vec<QueueEntry<Rank, bool>> = Vec::new();
         for (at, id) in &self.queue {
             let Some(job) = self.jobs.get(id) else { continue };
-            let team = &self.settings.deployment.teams[job.spec.team.ix()];
-            let sum = &mut used[job.spec.team.ix()];
-            sum.0 += job.spec.cpus * f64::from(job.left());
-            sum.1 += job.spec.cards * f64::from(job.left());
+            let team = &self.settings.deployment.teams[job.spec.team.index()];
+            let sum = &mut used[job.spec.team.index()];
+            sum.0 += job.spec.cpus * f64::from(job.remaining_tasks());
+            sum.1 += job.spec.gpus * f64::from(job.remaining_tasks());
             let within = sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS;
-            let pair = served::pair(&job.spec);
+            let pair = served::fairness_pair(&job.spec);
             let first = self.must_begin(job, now) && large.get(&pair).is_none_or(Use::has_room);
             let (turn, work) = if first { (0, 0) } else { self.turn(job, needs.class_deficit(pair), now) };
             let rank = (!within, team.is_guest(), job.spec.precedence, turn, work, *at, *id);
@@ -98,38 +98,38 @@
 
     /// Who is served too little. Guests take what is left, however little that was.
     pub(crate) fn who_needs(&self) -> Deficits {
-        if !self.service.has_underserved() {
+        if !self.fairness_ledger.has_underserved() {
             return Deficits::default();
         }
         let mut claims: BTreeMap<Team, TeamDemand> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
-            let team = &self.settings.deployment.teams[job.spec.team.ix()];
+            let team = &self.settings.deployment.teams[job.spec.team.index()];
             let claim = claims.entry(Team(job.spec.team.0)).or_default();
             claim.weight = if team.is_guest() { 0.0 } else { team.cpus.max(1.0) };
-            claim.used_cpus = self.teams.usage(job.spec.team).cpus;
+            claim.used_cpus = self.team_usage.usage(job.spec.team).cpus;
             claim.waiting_cpus += job.spec.cpus * f64::from(job.waiting.len());
             claim.waiting_cpus = claim.waiting_cpus.min((team.cpus_max - claim.used_cpus).max(0.0));
         }
         let cpus = self.machines.values().filter(|m| !m.leaving && !m.faulty).map(|m| m.cpus).sum();
-        self.service.compute_deficits(&claims, cpus)
+        self.fairness_ledger.compute_deficits(&claims, cpus)
     }
 
     /// Is it one of its class's largest, and has waited long without anything of it having begun?
     fn must_begin(&self, job: &Job, now: u64) -> bool {
-        let begun = job.started || !job.onto.is_empty() || !job.done.is_empty();
+        let begun = job.gang_started || !job.placement_counts.is_empty() || !job.done.is_empty();
         !begun
-            && now as i64 - job.since > BEGIN_MS
-            && self.sizes.is_large(job.spec.class, job.spec.tasks)
+            && now as i64 - job.eligible_mono_ms > BEGIN_MS
+            && self.job_sizes.is_large(job.spec.class, job.spec.tasks)
     }
 
     /// What the largest jobs of each team and class use, of all that it uses.
     fn used_by_large(&self) -> BTreeMap<(Team, Class), Use> {
         let mut out: BTreeMap<(Team, Class), Use> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
-            let cpus = job.spec.cpus * f64::from(job.onto.values().sum::<u32>());
-            let of = out.entry(served::pair(&job.spec)).or_default();
+            let cpus = job.spec.cpus * f64::from(job.placement_counts.values().sum::<u32>());
+            let of = out.entry(served::fairness_pair(&job.spec)).or_default();
             of.all += cpus;
-            if self.sizes.is_large(job.spec.class, job.spec.tasks) {
+            if self.job_sizes.is_large(job.spec.class, job.spec.tasks) {
                 of.large += cpus;
             }
         }
@@ -138,18 +138,18 @@
 
     /// The work left of a job, in CPU milliseconds.
     fn work_ms(&self, job: &Job) -> u64 {
-        let run = self.rates.run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
-        (f64::from(job.left()) * job.spec.cpus.max(0.1) * run * 1000.0) as u64
+        let run = self.run_times.expected_run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
+        (f64::from(job.remaining_tasks()) * job.spec.cpus.max(0.1) * run * 1000.0) as u64
     }
 
     /// 0: has waited far too long, and goes by arrival; 1: may be in time; 2: is late already. Those
     /// go by the work left.
     fn turn(&self, job: &Job, need: DeficitLevel, now: u64) -> (u8, u64) {
         let spec = &job.spec;
-        let run = self.rates.run_s(usize::MAX, spec.class, spec.estimate_s);
+        let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
         let span = 1.0 / self.theta(spec);
         // A deadline counts from the submission, everything else from when nothing is missing.
-        let from = if spec.deadline_s.is_some() { job.born } else { job.since };
+        let from = if spec.deadline_s.is_some() { job.accepted_mono_ms } else { job.eligible_mono_ms };
         let age = (now as i64 - from) as f64 / 1000.0;
         // Where a class is served too little nearly all its jobs have waited for long: by arrival the
         // large ones would keep many small ones from being served at all.
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -2,10 +2,10 @@
 
 use crate::placement::order::Ranked;
 use crate::placement::preempt::Order;
-use crate::state::cell::Cell;
-use crate::state::cell::PASS_MS;
-use crate::state::job::{Spec, Wait};
-use crate::state::ledger::Key;
+use crate::state::cell::LeaderState;
+use crate::state::cell::MIN_PASS_INTERVAL_MS;
+use crate::state::job::{JobSpec, WaitReason};
+use crate::state::ledger::RecordKey;
 use copperhaven_wire::jobs::JobKind;
 use std::sync::Arc;
 
@@ -27,41 +27,41 @@
 #[derive(Default)]
 pub(crate) struct Full {
     /// Demands, and for how many tasks of them there is room at most.
-    pub(super) room: Vec<(Arc<Spec>, u32)>,
-    pub(super) no_victims: Vec<(Ranked, Arc<Spec>, u32)>,
+    pub(super) room: Vec<(Arc<JobSpec>, u32)>,
+    pub(super) no_victims: Vec<(Ranked, Arc<JobSpec>, u32)>,
 }
 
 impl Full {
     /// Does `b` need at least what `a` needs, of machines that `a` may use as well?
-    pub(super) fn covers(a: &Spec, b: &Spec) -> bool {
+    pub(super) fn covers(a: &JobSpec, b: &JobSpec) -> bool {
         a.cpus <= b.cpus
-            && a.cards <= b.cards
+            && a.gpus <= b.gpus
             && a.mem_gb <= b.mem_gb
             && (a.spot || !b.spot)
             && (a.zone.is_none() || a.zone == b.zone)
-            && b.types.iter().all(|t| a.types.contains(t))
+            && b.machine_types.iter().all(|t| a.machine_types.contains(t))
     }
 
-    pub(crate) fn has_no_place(&self, spec: &Spec) -> bool {
+    pub(crate) fn has_no_place(&self, spec: &JobSpec) -> bool {
         self.lacks_room(spec, 1)
     }
 
     /// Is there room for less than `need` tasks of this shape?
-    pub(super) fn lacks_room(&self, spec: &Spec, need: u32) -> bool {
+    pub(super) fn lacks_room(&self, spec: &JobSpec, need: u32) -> bool {
         self.room.iter().any(|(a, most)| *most < need && Self::covers(a, spec))
     }
 
     /// There is room for so many tasks of this shape.
-    pub(crate) fn found_room(&mut self, spec: &Arc<Spec>, most: u32) {
+    pub(crate) fn found_room(&mut self, spec: &Arc<JobSpec>, most: u32) {
         match self.room.iter_mut().find(|(a, _)| Self::covers(a, spec) && Self::covers(spec, a)) {
             Some((_, known)) => *known = most.min(*known),
             None => self.room.push((spec.clone(), most)),
         }
     }
 
-    pub(crate) fn none_to_stop(&self, r: Ranked, spec: &Spec, need: u32) -> bool {
+    pub(crate) fn none_to_stop(&self, r: Ranked, spec: &JobSpec, need: u32) -> bool {
         self.no_victims.iter().any(|(other, a, least)| {
-            let gang = |s: &Spec| s.shape == JobKind::Gang;
+            let gang = |s: &JobSpec| s.shape == JobKind::Gang;
             Self::covers(a, spec)
                 && a.precedence <= spec.precedence
                 // An array takes what it gets; a gang found too little for all of it.
@@ -73,19 +73,19 @@
     }
 }
 
-impl Cell {
+impl LeaderState {
     /// How long until the next pass is due, if there is anything to place.
     pub fn pass_pause(&self, now: u64) -> Option<u64> {
-        let late = self.lag.saturating_sub(LATE_MS) * 4;
-        let gap = self.pass_gap.max(late.min(MOST_PASS_MS));
-        self.stir.then(|| (self.passed + gap).saturating_sub(now))
+        let late = self.timer_lag.saturating_sub(LATE_MS) * 4;
+        let gap = self.pass_interval_ms.max(late.min(MOST_PASS_MS));
+        self.placement_pending.then(|| (self.last_pass_at + gap).saturating_sub(now))
     }
 
     /// A pass took so long: with much that waits, or little processor, passes are further apart, so
     /// that they never take more than a fifth of the time. Eight times as far apart as they took cost where a
     /// controller has six percent of a core.
     pub fn pass_took(&mut self, ms: u64) {
-        self.pass_gap = (ms * 4).clamp(PASS_MS, MOST_PASS_MS);
+        self.pass_interval_ms = (ms * 4).clamp(MIN_PASS_INTERVAL_MS, MOST_PASS_MS);
     }
 
     /// One pass: every waiting task that can be placed is put on a machine's list.
@@ -100,12 +100,12 @@
     }
 
     fn pass(&mut self, now: u64, bounds: bool) {
-        self.stir = false;
-        self.passed = now;
+        self.placement_pending = false;
+        self.last_pass_at = now;
         self.stoppable.clear();
         let unknown = self.unknown_usage();
-        self.teams.release_held(unknown);
-        self.pass_service(now);
+        self.team_usage.release_held(unknown);
+        self.advance_fairness(now);
         self.needs = self.who_needs();
         let ranked = self.ranked(&self.needs, now);
         for r in &ranked {
@@ -123,19 +123,19 @@
                 continue;
             }
             let safe = job.accept_ver.max(job.start_ver);
-            if !self.is_saved(&Key::Job(r.id), safe) {
+            if !self.is_saved(&RecordKey::Job(r.id), safe) {
                 continue;
             }
             if now < job.retry_at {
                 continue;
             }
-            if self.may_be_hidden(job) {
+            if self.may_be_on_unreadable_machine(job) {
                 if let Some(job) = self.jobs.get_mut(&r.id) {
-                    job.wait = Wait::Absence;
+                    job.wait_reason = WaitReason::UnheardMachine;
                 }
                 continue;
             }
-            if job.is_failing() && job.spec.shape != JobKind::Gang && !job.onto.is_empty() {
+            if job.is_failing() && job.spec.shape != JobKind::Gang && !job.placement_counts.is_empty() {
                 continue;
             }
             let spec = job.spec.clone();
@@ -148,19 +148,19 @@
             let skip = plain && full.has_no_place(&spec);
             let gang = spec.shape == JobKind::Gang;
             let wait = match spec.shape {
-                _ if skip && self.team_room(&spec) == 0 => Wait::TeamLimit,
+                _ if skip && self.team_room(&spec) == 0 => WaitReason::TeamLimit,
                 JobKind::Gang => {
                     let short = skip || (plain && full.lacks_room(&spec, need));
                     self.place_gang(r.id, &spec, &mut slots, now, short)
                 }
-                _ if skip => Wait::NoRoom,
+                _ if skip => WaitReason::NoRoom,
                 _ => self.place_single(r.id, &spec, &mut slots, now),
             };
             if held.contains_key(&r.id) && !slots.iter().any(|s| s.reserved == Some(r.id)) {
                 // What was kept for it is there for others now: there may be more room than was found.
                 full.room.clear();
             }
-            if wait == Wait::NoRoom && plain && !skip && !full.lacks_room(&spec, need) {
+            if wait == WaitReason::NoRoom && plain && !skip && !full.lacks_room(&spec, need) {
                 // A gang found too little for all of it, a single task none at all.
                 let most = slots.iter().map(|s| s.open_room(&spec)).sum();
                 if (gang && bounds) || most == 0 {
@@ -168,13 +168,13 @@
                 }
             }
             let Some(job) = self.jobs.get_mut(&r.id) else { continue };
-            let was = std::mem::replace(&mut job.wait, wait);
-            if wait == Wait::TeamLimit {
+            let was = std::mem::replace(&mut job.wait_reason, wait);
+            if wait == WaitReason::TeamLimit {
                 // As below: looking through all that runs is dear.
-                let soon = now < job.look_at;
-                let waits_on = soon && was == Wait::Stopping && !gang;
+                let soon = now < job.next_preemption_at;
+                let waits_on = soon && was == WaitReason::Stopping && !gang;
                 if waits_on {
-                    job.wait = Wait::Stopping;
+                    job.wait_reason = WaitReason::Stopping;
                 }
                 let futile = soon || !self.lower_work(&spec);
                 if waits_on {
@@ -183,30 +183,30 @@
                 } else if !gang && !futile && slots.iter().any(|s| s.open_to(&spec)) {
                     let found = self.make_team_room(r.id, &spec, now);
                     if let Some(job) = self.jobs.get_mut(&r.id) {
-                        job.look_at = now + if found { AGAIN_MS } else { LOOK_MS };
+                        job.next_preemption_at = now + if found { AGAIN_MS } else { LOOK_MS };
                         if found {
-                            job.wait = Wait::Stopping;
+                            job.wait_reason = WaitReason::Stopping;
                         }
                     }
                 }
                 continue;
             }
-            if wait == Wait::NoRoom {
-                if job.ready_at == 0 {
-                    job.ready_at = now;
+            if wait == WaitReason::NoRoom {
+                if job.waiting_for_room_since == 0 {
+                    job.waiting_for_room_since = now;
                 }
                 // Looking through all that runs is dear: a search that came to nothing is not
                 // repeated within a second, nor in this pass for those who could stop no more.
                 let kept =
                     held.contains_key(&r.id) && slots.iter().any(|s| s.reserved == Some(r.id));
                 let none = || plain && full.none_to_stop(*r, &spec, need);
-                let futile = now < job.look_at || none();
+                let futile = now < job.next_preemption_at || none();
                 let found = if futile {
-                    kept || (now < job.look_at && was == Wait::Stopping)
+                    kept || (now < job.next_preemption_at && was == WaitReason::Stopping)
                 } else {
                     let found = self.make_room(*r, &spec, &mut slots, (&order, &held, bounds), now);
                     if let Some(job) = self.jobs.get_mut(&r.id) {
-                        job.look_at = now + if found { AGAIN_MS } else { LOOK_MS };
+                        job.next_preemption_at = now + if found { AGAIN_MS } else { LOOK_MS };
                     }
                     let patient = spec.shape == JobKind::Array && !self.array_may_preempt(*r, now);
                     if !found && plain && !patient {
@@ -219,11 +219,11 @@
                         self.hold_limit(r.id, &spec);
                     }
                     if let Some(job) = self.jobs.get_mut(&r.id) {
-                        job.wait = Wait::Stopping;
+                        job.wait_reason = WaitReason::Stopping;
                     }
                 }
             } else if let Some(job) = self.jobs.get_mut(&r.id) {
-                job.ready_at = 0;
+                job.waiting_for_room_since = 0;
             }
         }
     }
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -2,9 +2,9 @@
 
 use crate::placement::order::Ranked;
 use crate::placement::slots::Slot;
-use crate::state::cell::Cell;
-use crate::state::job::Spec;
-use crate::state::machine::{Entry, Machine, RESERVE_MS, Seen};
+use crate::state::cell::LeaderState;
+use crate::state::job::JobSpec;
+use crate::state::machine::{Assignment, Machine, RESERVATION_MS, ObservedState};
 use crate::state::names::*;
 use crate::state::served;
 use copperhaven_fairness::Class;
@@ -31,17 +31,17 @@
 /// What a job that looks for room may have of another's, the same on all machines.
 #[derive(Clone, Copy)]
 struct Stance<'a> {
-    spec: &'a Spec,
+    spec: &'a JobSpec,
     /// Its tasks may be stopped.
     may: bool,
 }
 
 /// A job that looks for room, and what it has found out of others.
 struct Asker<'a> {
-    cell: &'a Cell,
+    cell: &'a LeaderState,
     r: Ranked,
     patient: bool,
-    spec: &'a Spec,
+    spec: &'a JobSpec,
     order: &'a Order,
     short: bool,
     /// Are machines left on which nothing could fit, before their tasks are weighed?
@@ -58,9 +58,9 @@
         })
     }
 
-    fn may_stop(&self, id: JobId, v: &Spec) -> bool {
+    fn may_stop(&self, id: JobId, v: &JobSpec) -> bool {
         let (spec, r) = (self.spec, &self.r);
-        let guest = |s: &Spec| self.cell.settings.deployment.teams[s.team.ix()].is_guest();
+        let guest = |s: &JobSpec| self.cell.settings.deployment.teams[s.team.index()].is_guest();
         // Guests take what is left, and stop each other's work only.
         let lower = v.precedence > spec.precedence && (!guest(spec) || guest(v));
         let other = self.order.get(&id);
@@ -76,7 +76,7 @@
             // days without overload.
             && (!self.short
                 || guest(v)
-                || self.cell.service.can_lose_work(Class(v.class.0), part))
+                || self.cell.fairness_ledger.can_lose_work(Class(v.class.0), part))
     }
 
     /// While somebody is served too little, whoever's turn it is waits for what runs out soon: small
@@ -90,14 +90,14 @@
         let mut free = slot.bare();
         let waits = self.waits();
         let mut last: Option<(JobId, Option<Stance>)> = None;
-        for ((id, _), e) in &m.entries {
+        for ((id, _), e) in &m.assignments {
             let stance = match last {
                 Some((of, stance)) if of == *id => stance,
                 _ => self.stance(*id),
             };
             last = Some((*id, stance));
             let Some(s) = stance else { return false };
-            if e.stop.is_some() || s.may || (waits && s.spec.shape == JobKind::Array) {
+            if e.stop_requested.is_some() || s.may || (waits && s.spec.shape == JobKind::Array) {
                 free.take_back(s.spec);
             }
         }
@@ -105,14 +105,14 @@
     }
 }
 
-impl Cell {
+impl LeaderState {
     /// Stops tasks to make room: those of lower priority; and, for a job within its team's
     /// guarantee, what another team runs beyond its own. The machine is kept for the job until
     /// they have left. Returns whether the job now waits for tasks that are being stopped.
     pub(crate) fn make_room(
         &mut self,
         r: Ranked,
-        spec: &Spec,
+        spec: &JobSpec,
         slots: &mut [Slot],
         (order, held, bounds): (&Order, &Held, bool),
         now: u64,
@@ -139,9 +139,9 @@
         for mid in held {
             let m = &self.machines[mid];
             let mut free = Slot::on(*mid, m);
-            for ((v, _), e) in &m.entries {
+            for ((v, _), e) in &m.assignments {
                 if let Some(v) = self.jobs.get(v)
-                    && (e.stop.is_some() || (short && self.runs_out(&v.spec, e, now)))
+                    && (e.stop_requested.is_some() || (short && self.runs_out(&v.spec, e, now)))
                 {
                     free.take_back(&v.spec);
                 }
@@ -194,7 +194,7 @@
             }
             if let Some(m) = self.machines.get_mut(&mid) {
                 if keep {
-                    m.reserved = Some((r.id, now + RESERVE_MS));
+                    m.reserved = Some((r.id, now + RESERVATION_MS));
                 }
                 let stopped = victims.iter().filter(|(.., runs_out)| !runs_out).count();
                 let (name, count) = (m.name.clone(), stopped);
@@ -207,7 +207,7 @@
                 self.count_stop(mid, vid, task, now);
                 let Some(v) = self.jobs.get_mut(&vid) else { continue };
                 v.preempted += 1;
-                let grace = if v.spec.checkpoint_s > 0.0 { v.spec.save_s + 1.0 } else { 0.0 };
+                let grace = if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 };
                 if v.spec.shape == JobKind::Gang {
                     self.stop_all(vid, now, grace);
                 } else {
@@ -230,37 +230,37 @@
     }
 
     /// For how long a task has run, as far as this leader knows, in seconds.
-    fn ran_s(&self, e: &Entry, now: u64) -> f64 {
-        let since = e.running_at.max(self.taken);
-        if e.seen == Seen::Running { now.saturating_sub(since) as f64 / 1000.0 } else { 0.0 }
+    fn ran_s(&self, e: &Assignment, now: u64) -> f64 {
+        let since = e.running_since.max(self.took_over_at);
+        if e.observed == ObservedState::Running { now.saturating_sub(since) as f64 / 1000.0 } else { 0.0 }
     }
 
     /// What is lost of a task's run if it is stopped now, in seconds.
-    pub(crate) fn lost_s(&self, spec: &Spec, e: &Entry, now: u64) -> f64 {
+    pub(crate) fn lost_s(&self, spec: &JobSpec, e: &Assignment, now: u64) -> f64 {
         let ran = self.ran_s(e, now);
-        if spec.checkpoint_s > 0.0 { ran.min(spec.save_s) } else { ran }
+        if spec.checkpoint_interval_s > 0.0 { ran.min(spec.checkpoint_save_s) } else { ran }
     }
 
     /// How much longer a task is expected to run, in seconds.
-    fn rest_s(&self, spec: &Spec, e: &Entry, now: u64) -> f64 {
-        let run = self.rates.run_s(usize::MAX, spec.class, spec.estimate_s);
+    fn rest_s(&self, spec: &JobSpec, e: &Assignment, now: u64) -> f64 {
+        let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
         (run - self.ran_s(e, now)).max(0.0)
     }
 
     /// Will this task have left its machine by itself before a reservation ends?
-    fn runs_out(&self, spec: &Spec, e: &Entry, now: u64) -> bool {
-        spec.shape == JobKind::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVE_MS as f64
+    fn runs_out(&self, spec: &JobSpec, e: &Assignment, now: u64) -> bool {
+        spec.shape == JobKind::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVATION_MS as f64
     }
 
     /// Counts a task that is about to be stopped for others.
     pub(crate) fn count_stop(&mut self, mid: MachineId, id: JobId, task: u32, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
         let Some(m) = self.machines.get(&mid) else { return };
-        let Some(e) = m.entries.get(&(id, task)) else { return };
+        let Some(e) = m.assignments.get(&(id, task)) else { return };
         let spec = &job.spec;
         let tasks = if spec.shape == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
         let lost = self.lost_s(spec, e, now) * spec.cpus * tasks;
-        self.service.task_preempted(served::pair(spec), lost);
+        self.fairness_ledger.task_preempted(served::fairness_pair(spec), lost);
     }
 
     /// Does any team without a guarantee have work on machines?
@@ -268,8 +268,8 @@
         let teams = &self.settings.deployment.teams;
         teams
             .iter()
-            .zip(self.teams.usages())
-            .any(|(t, u)| t.is_guest() && (u.cpus > 0.0 || u.cards > 0.0))
+            .zip(self.team_usage.usages())
+            .any(|(t, u)| t.is_guest() && (u.cpus > 0.0 || u.gpus > 0.0))
     }
 
     /// An array within its guarantee may preempt once it has waited a third of what the
@@ -284,7 +284,7 @@
             .filter(|o| o.kind == "guarantee")
             .filter_map(|o| o.within_s)
             .fold(60.0, f64::min);
-        r.guaranteed && job.ready_at > 0 && now > job.ready_at + (span * 333.0) as u64
+        r.guaranteed && job.waiting_for_room_since > 0 && now > job.waiting_for_room_since + (span * 333.0) as u64
     }
 
     /// The cheapest tasks to stop on one machine so that tasks of `spec` fit there; cost counts
@@ -297,9 +297,9 @@
         let spec = asker.spec;
         let mut free = slot.bare();
         let mut list: Vec<(f64, Victim)> = Vec::new();
-        for ((id, task), e) in &m.entries {
+        for ((id, task), e) in &m.assignments {
             let Stance { spec: v, may } = asker.stance(*id)?;
-            if e.stop.is_some() {
+            if e.stop_requested.is_some() {
                 free.take_back(v);
             } else if may {
                 let gang = if v.shape == JobKind::Gang { f64::from(v.tasks) } else { 1.0 };
--- a/crates/core/src/placement/singles.rs
+++ b/crates/core/src/placement/singles.rs
@@ -1,12 +1,12 @@
 //! Tasks of arrays and replicas of services, each placed by itself.
 
 use crate::placement::slots::Slot;
-use crate::state::cell::Cell;
-use crate::state::job::{Spec, Wait};
+use crate::state::cell::LeaderState;
+use crate::state::job::{JobSpec, WaitReason};
 use crate::state::names::*;
 use copperhaven_wire::jobs::JobKind;
 
-impl Cell {
+impl LeaderState {
     /// All its tasks have their places: what was kept for it is free for others.
     fn release_kept(&mut self, id: JobId, slots: &mut [Slot]) {
         for s in slots.iter_mut().filter(|s| s.reserved == Some(id)) {
@@ -20,19 +20,19 @@
     pub(crate) fn place_single(
         &mut self,
         id: JobId,
-        spec: &Spec,
+        spec: &JobSpec,
         slots: &mut [Slot],
         now: u64,
-    ) -> Wait {
+    ) -> WaitReason {
         // Without room in the team's limit no machine need be looked at.
         if self.team_room(spec) == 0 && self.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty()) {
-            return Wait::TeamLimit;
+            return WaitReason::TeamLimit;
         }
         let mut order = self.candidates(id, spec, slots);
         if spec.shape == JobKind::Service {
             // Replicas go where the job has fewest.
             let job = &self.jobs[&id];
-            order.sort_by_key(|i| job.in_zone[slots[*i].zone.ix()]);
+            order.sort_by_key(|i| job.placements_by_zone[slots[*i].zone.index()]);
         }
         let mut placed = false;
         for i in order {
@@ -40,11 +40,11 @@
                 let left = self.jobs.get(&id).map_or(0, |j| j.waiting.len());
                 if left == 0 {
                     self.release_kept(id, slots);
-                    return Wait::Image;
+                    return WaitReason::Image;
                 }
                 let quota = self.team_room(spec);
                 if quota == 0 {
-                    return Wait::TeamLimit;
+                    return WaitReason::TeamLimit;
                 }
                 let failing = self.jobs.get(&id).is_some_and(|j| j.is_failing());
                 let most = if failing || spec.shape == JobKind::Service { 1 } else { u32::MAX };
@@ -66,7 +66,7 @@
                 slots[i].take(spec, n);
                 placed = true;
                 if failing {
-                    return Wait::Backoff;
+                    return WaitReason::Backoff;
                 }
                 if spec.shape == JobKind::Service {
                     break;
@@ -75,14 +75,14 @@
         }
         if self.jobs.get(&id).is_none_or(|j| j.waiting.is_empty()) {
             self.release_kept(id, slots);
-            return Wait::Image;
+            return WaitReason::Image;
         }
         if self.team_room(spec) == 0 {
-            return Wait::TeamLimit;
+            return WaitReason::TeamLimit;
         }
         if placed {
-            self.stir = spec.shape == JobKind::Service;
+            self.placement_pending = spec.shape == JobKind::Service;
         }
-        Wait::NoRoom
+        WaitReason::NoRoom
     }
 }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -1,8 +1,8 @@
 //! Machines with what is free on them, and which of them a job may use.
 
-use crate::state::book::{GROUP_BYTES, RANGE_BYTES};
-use crate::state::cell::Cell;
-use crate::state::job::{EPS, Spec};
+use crate::state::book::{MAX_TASK_GROUP_BYTES, MAX_TASK_RANGE_BYTES};
+use crate::state::cell::LeaderState;
+use crate::state::job::{EPS, JobSpec};
 use crate::state::machine;
 use crate::state::names::*;
 use copperhaven_recovery::Machine;
@@ -32,11 +32,11 @@
     pub fn on(mid: MachineId, m: &machine::Machine) -> Slot {
         Slot {
             mid,
-            kind: m.kind,
+            kind: m.machine_type,
             zone: m.zone,
             spot: m.spot,
             cpus: m.cpus - m.used_cpus,
-            cards: m.cards - m.used_cards,
+            cards: m.gpus - m.used_gpus,
             mem_gb: m.mem_gb - m.used_mem,
             images: Images::new(),
             record: usize::MAX,
@@ -50,8 +50,8 @@
     }
 
     /// How many tasks of this shape fit.
-    pub fn fits(&self, spec: &Spec) -> u32 {
-        let listed = (self.record.saturating_sub(GROUP_BYTES) / RANGE_BYTES).min(256) as u32;
+    pub fn fits(&self, spec: &JobSpec) -> u32 {
+        let listed = (self.record.saturating_sub(MAX_TASK_GROUP_BYTES) / MAX_TASK_RANGE_BYTES).min(256) as u32;
         if listed == 0 {
             return 0;
         }
@@ -61,58 +61,58 @@
         // Whole tasks: what is cast is not negative.
         let fit = part(self.cpus, spec.cpus)
             .min(part(self.mem_gb, spec.mem_gb))
-            .min(part(self.cards, spec.cards)) as u32;
+            .min(part(self.cards, spec.gpus)) as u32;
         fit.min(listed)
     }
 
     /// How many tasks of this shape fit, with nobody else's reservation in the way.
-    pub(super) fn open_room(&self, spec: &Spec) -> u32 {
+    pub(super) fn open_room(&self, spec: &JobSpec) -> u32 {
         if self.reserved.is_none() && self.allowed(spec) { self.fits(spec) } else { 0 }
     }
 
-    pub fn take(&mut self, spec: &Spec, n: u32) {
+    pub fn take(&mut self, spec: &JobSpec, n: u32) {
         if n > 0 {
-            self.record = self.record.saturating_sub(GROUP_BYTES + RANGE_BYTES * n as usize);
+            self.record = self.record.saturating_sub(MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES * n as usize);
         }
         let n = f64::from(n);
         self.cpus -= spec.cpus * n;
-        self.cards -= spec.cards * n;
+        self.cards -= spec.gpus * n;
         self.mem_gb -= spec.mem_gb * n;
     }
 
     /// Does at least one task fit here, with nobody else's reservation in the way?
-    pub(crate) fn open_to(&self, spec: &Spec) -> bool {
+    pub(crate) fn open_to(&self, spec: &JobSpec) -> bool {
         self.open_room(spec) > 0
     }
 
-    pub fn allowed(&self, spec: &Spec) -> bool {
+    pub fn allowed(&self, spec: &JobSpec) -> bool {
         (spec.spot || !self.spot)
-            && spec.types.contains(&self.kind)
+            && spec.machine_types.contains(&self.kind)
             && spec.zone.is_none_or(|z| z == self.zone)
     }
 }
 
 impl Slot {
-    pub fn take_back(&mut self, spec: &Spec) {
+    pub fn take_back(&mut self, spec: &JobSpec) {
         self.take_back_n(spec, 1);
     }
 
-    pub(super) fn take_back_n(&mut self, spec: &Spec, n: u32) {
+    pub(super) fn take_back_n(&mut self, spec: &JobSpec, n: u32) {
         let n = f64::from(n);
         self.cpus += spec.cpus * n;
-        self.cards += spec.cards * n;
+        self.cards += spec.gpus * n;
         self.mem_gb += spec.mem_gb * n;
     }
 }
 
-impl Cell {
+impl LeaderState {
     pub fn slots(&self, now: u64) -> Vec<Slot> {
-        let silence = self.silence();
+        let silence = self.report_timeout_ms();
         self.machines
             .iter()
-            .filter(|(_, m)| m.usable(now, silence) && m.foreign.is_empty())
-            .map(|(mid, m)| (mid, m, self.record_room(m)))
-            .filter(|(.., record)| *record >= GROUP_BYTES + RANGE_BYTES)
+            .filter(|(_, m)| m.is_usable(now, silence) && m.unreadable_job_tasks.is_empty())
+            .map(|(mid, m)| (mid, m, self.record_bytes_left(m)))
+            .filter(|(.., record)| *record >= MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES)
             .map(|(mid, m, record)| Slot {
                 images: m.images.iter().map(|(i, _)| *i).collect(),
                 record,
@@ -127,21 +127,21 @@
     /// rented or stopped for what may find its place there either.
     pub(crate) fn expected(&self, now: u64) -> impl Iterator<Item = Slot> {
         let waited = self.recovery.unreported_count() > 0;
-        let silence = self.silence();
+        let silence = self.report_timeout_ms();
         self.machines
             .iter()
             .filter(move |(mid, m)| {
                 waited
                     && self.recovery.is_report_expected(Machine(mid.0), now)
-                    && !m.usable(now, silence)
-                    && !(m.faulty || m.leaving || m.recall_at.is_some())
-                    && m.foreign.is_empty()
+                    && !m.is_usable(now, silence)
+                    && !(m.faulty || m.leaving || m.reclaim_at.is_some())
+                    && m.unreadable_job_tasks.is_empty()
             })
             .map(|(mid, m)| Slot::on(*mid, m))
     }
 
     /// For how many tasks of this shape there is room on such machines.
-    pub(crate) fn expected_room(&self, spec: &Spec, now: u64) -> u32 {
+    pub(crate) fn expected_room(&self, spec: &JobSpec, now: u64) -> u32 {
         self.expected(now).map(|s| s.open_room(spec)).sum()
     }
 
@@ -150,14 +150,14 @@
         let Some(job) = self.jobs.get(&id) else { return 0 };
         let mut room = u32::MAX;
         if job.spec.one_zone {
-            let elsewhere = job.in_zone.iter().enumerate().any(|(z, n)| z != zone.ix() && *n > 0);
+            let elsewhere = job.placements_by_zone.iter().enumerate().any(|(z, n)| z != zone.index() && *n > 0);
             if elsewhere {
                 return 0;
             }
         }
         if job.spec.spread {
             let half = job.spec.tasks.div_ceil(2);
-            room = room.min(half.saturating_sub(job.in_zone[zone.ix()]));
+            room = room.min(half.saturating_sub(job.placements_by_zone[zone.index()]));
         }
         room
     }
@@ -165,11 +165,11 @@
     /// The machines a job may use now, the best first: where the index routed its tasks, with its
     /// image, spot if it may (that leaves ordinary machines to those who must have them), and
     /// the fullest, so that whole machines stay free for gangs.
-    pub(crate) fn candidates(&self, id: JobId, spec: &Spec, slots: &[Slot]) -> Vec<usize> {
+    pub(crate) fn candidates(&self, id: JobId, spec: &JobSpec, slots: &[Slot]) -> Vec<usize> {
         let Some(job) = self.jobs.get(&id) else { return vec![] };
         let sound = self.machines.len() > job.failed_on.len();
         let doubted = |s: &Slot| {
-            self.machines.get(&s.mid).is_some_and(|m| m.blamed > 0 || !m.accused.is_empty())
+            self.machines.get(&s.mid).is_some_and(|m| m.machine_failures > 0 || !m.suspect_failures.is_empty())
         };
         let mut out: Vec<(bool, bool, bool, bool, i64, i64, usize)> = slots
             .iter()
@@ -178,11 +178,11 @@
             .filter(|(_, s)| !(sound && job.failed_on.contains_key(&s.mid)))
             .filter(|(_, s)| s.fits(spec) > 0)
             .map(|(i, s)| {
-                let pool = self.pool(s.zone, s.kind);
-                let routed = job.routed.get(pool).is_some_and(|r| *r > 0);
+                let pool = self.pool_index(s.zone, s.kind);
+                let routed = job.routed_by_pool.get(pool).is_some_and(|r| *r > 0);
                 let image = s.images.contains(&spec.image);
                 // The cheapest first, so that dear machines get free and can be given back.
-                let f = &self.flavors[s.kind.ix()];
+                let f = &self.flavors[s.kind.index()];
                 let price = (f.price(s.spot) * self.share(spec, s.kind) * 1e6) as i64;
                 let free = (s.cpus * 1000.0) as i64;
                 (doubted(s), !image, s.reserved.is_none(), !routed, price, free, i)
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -2,8 +2,8 @@
 use super::pass::*;
 use crate::admission::shape::admit_shape;
 use crate::for_tests::*;
-use crate::state::cell::{Cell, PASS_MS};
-use crate::state::job::Spec;
+use crate::state::cell::{LeaderState, MIN_PASS_INTERVAL_MS};
+use crate::state::job::JobSpec;
 use crate::state::names::*;
 use copperhaven_fairness::need::DeficitLevel;
 use copperhaven_wire::jobs::JobBody;
@@ -11,7 +11,7 @@
 use copperhaven_wire::workers::Report;
 use std::sync::Arc;
 
-fn spec(edit: fn(&mut JobBody)) -> Arc<Spec> {
+fn spec(edit: fn(&mut JobBody)) -> Arc<JobSpec> {
     let mut c = crate::for_tests::cell();
     let mut body = crate::for_tests::body("wk-1");
     edit(&mut body);
@@ -26,8 +26,8 @@
     let mut c = crate::for_tests::cell();
     c.place(1000);
     assert_eq!(c.pass_pause(1000), None, "nothing has changed");
-    c.stir = true;
-    for (now, pause) in [(1000, PASS_MS), (1000 + PASS_MS - 1, 1), (1000 + PASS_MS, 0)] {
+    c.placement_pending = true;
+    for (now, pause) in [(1000, MIN_PASS_INTERVAL_MS), (1000 + MIN_PASS_INTERVAL_MS - 1, 1), (1000 + MIN_PASS_INTERVAL_MS, 0)] {
         assert_eq!(c.pass_pause(now), Some(pause), "{now}");
     }
     // Found on an own day of four times as many pipelines: passes over hundreds of waiting jobs
@@ -39,7 +39,7 @@
     // A leader whose timers fire late has more to do than time: places are what it puts off.
     c.pass_took(0);
     for (lag, gap) in [(3, 50), (100, 50), (150, 200), (5000, 1000)] {
-        c.lag = lag;
+        c.timer_lag = lag;
         assert_eq!(c.pass_pause(1000), Some(gap), "{lag}");
     }
 }
@@ -121,7 +121,7 @@
         b.team = "guest".into();
     });
     commit(&mut c);
-    let first = |c: &Cell, now| c.ranked(&c.who_needs(), now)[0].id;
+    let first = |c: &LeaderState, now| c.ranked(&c.who_needs(), now)[0].id;
     assert!(first(&c, T0 + 1_000) != large, "the least work first");
     // None of them may be in time any more, nor has waited far too long.
     let late = T0 + 125_000;
@@ -129,7 +129,7 @@
     // It has begun: while the largest have a third of what the class uses, the others go on first.
     let r = |tally| Report { machine_type: "big".into(), ..report(1, tally, TERM, &[]) };
     exchange(&mut c, &r(1), late);
-    assert!(c.jobs[&large].onto.len() > 10);
+    assert!(c.jobs[&large].placement_counts.len() > 10);
     assert!(first(&c, late + 100) != twin, "one at a time, a third of what is used at most");
-    c.check();
+    c.check_invariants();
 }
--- a/crates/core/src/safety_tests.rs
+++ b/crates/core/src/safety_tests.rs
@@ -4,8 +4,8 @@
 use crate::admission::shape::admit_shape;
 use crate::for_tests::*;
 use crate::records::{Change, Cond, MachineRecord, OnRecord, Record};
-use crate::state::cell::Cell;
-use crate::state::ledger::Key;
+use crate::state::cell::LeaderState;
+use crate::state::ledger::RecordKey;
 use crate::state::names::*;
 use crate::takeover::{Records, rebuild};
 use crate::workers::reports::Taken;
@@ -22,7 +22,7 @@
 }
 
 /// One task, accepted, placed on n-1 and told to run in the response to report 2.
-fn started() -> (Cell, JobId, MachineId, u64) {
+fn started() -> (LeaderState, JobId, MachineId, u64) {
     let mut c = cell();
     let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
@@ -30,12 +30,12 @@
     assert!(runs(&exchange(&mut c, &report(1, 1, 0, &[]), T0)).is_empty());
     let got = runs(&exchange(&mut c, &report(1, 2, TERM, &[]), T0 + 500));
     assert_eq!(got.len(), 1);
-    let mid = c.machines.id("n-1").expect("known");
+    let mid = c.machines.id_of("n-1").expect("known");
     (c, id, mid, got[0].1)
 }
 
-fn may_be_there(c: &Cell, mid: MachineId, id: JobId) -> bool {
-    c.machines[&mid].entries.contains_key(&(id, 0))
+fn may_be_there(c: &LeaderState, mid: MachineId, id: JobId) -> bool {
+    c.machines[&mid].assignments.contains_key(&(id, 0))
 }
 
 #[test]
@@ -48,7 +48,7 @@
     assert!(c.show("wk-1").is_none(), "nor is it called accepted");
     commit(&mut c);
     c.place(T0);
-    let mid = c.machines.id("n-1").expect("known");
+    let mid = c.machines.id_of("n-1").expect("known");
     assert!(!c.orders_ready(mid));
     let orders = c.orders(mid, (1, 1), T0, true).expect("orders").orders;
     assert!(runs(&orders).is_empty(), "the list that holds it is not recorded yet");
@@ -80,7 +80,7 @@
         assert_eq!(attempt, a);
         c.on_report(&r, T0 + 1000);
         assert_eq!(may_be_there(&c, mid, id), there, "{name}");
-        c.check();
+        c.check_invariants();
     }
 }
 
@@ -131,14 +131,14 @@
     let machines = vec![("m/n-1".to_string(), machine, 3)];
     let jobs = vec![("j/wk-1".into(), job, 2)];
     rebuild(&mut c, Records { jobs, machines, ..Records::default() }, T0, T0);
-    let (id, mid) = (c.jobs.id("wk-1").expect("known"), c.machines.id("n-1").expect("known"));
+    let (id, mid) = (c.jobs.id_of("wk-1").expect("known"), c.machines.id_of("n-1").expect("known"));
     assert_eq!(c.jobs[&id].waiting.len(), 1, "two of three may be on the machine");
-    assert_eq!(c.teams.usage(TeamId::from(0)).cpus, 2.0, "and count against the limit");
-    assert_eq!(c.direct.len(), 1, "the machine is sent the new term");
+    assert_eq!(c.team_usage.usage(TeamId::from(0)).cpus, 2.0, "and count against the limit");
+    assert_eq!(c.direct_requests.len(), 1, "the machine is sent the new term");
     let bound = c.settings.holding_ms() + c.settings.lease_ms();
     assert!(c.expire(T0 + bound - 100).is_empty());
     assert_eq!(c.expire(T0 + bound + 100), [mid]);
-    c.check();
+    c.check_invariants();
 }
 
 #[test]
@@ -167,7 +167,7 @@
     commit(&mut c);
     c.cancel(id, T0);
     assert_ne!(c.show("wk-1").expect("known").status, "aborted", "not before it is recorded");
-    let mid = c.machines.id("n-1").expect("known");
+    let mid = c.machines.id_of("n-1").expect("known");
     assert!(runs(&c.orders(mid, (1, 1), T0, true).expect("orders").orders).is_empty());
     commit(&mut c);
     assert_eq!(c.show("wk-1").expect("known").status, "aborted");
@@ -175,7 +175,7 @@
     // and the record that counts it stays open until then.
     let (mut c, id, mid, a) = started();
     c.cancel(id, T0 + 600);
-    assert_eq!(c.direct.len(), 1);
+    assert_eq!(c.direct_requests.len(), 1);
     let changes = commit(&mut c);
     let open = |x: &Change| matches!(x, Change::Put { v: Record::Job(j), .. } if j.cancelled);
     assert!(changes.iter().any(open));
@@ -197,14 +197,14 @@
     // Nobody answered. The next transaction holds the same key under the same condition, so that
     // at most one of the two can ever be applied.
     let next = c.batch(16).expect("the same again");
-    assert_eq!(lost.when, next.when);
+    assert_eq!(lost.conditions, next.conditions);
     assert!(c.show("wk-1").is_none());
     // The lost one was applied after all: its version is read back, and the write repeated.
-    c.ledger.stamp("j/wk-1".into(), Some(77));
+    c.write_queue.set_path_revision("j/wk-1".into(), Some(77));
     let again = c.batch(16).expect("again");
-    assert!(again.when.contains(&Cond { path: "j/wk-1".into(), stamp: 77 }));
+    assert!(again.conditions.contains(&Cond { path: "j/wk-1".into(), stamp: 77 }));
     c.applied(&again, 78);
-    assert!(c.accepted(id, &c.jobs[&id]));
+    assert!(c.is_accepted(id, &c.jobs[&id]));
 }
 
 #[test]
@@ -218,9 +218,9 @@
         c.on_report(&r, T0);
     }
     c.place(T0);
-    c.check();
+    c.check_invariants();
     assert_eq!(
-        c.teams.usage(TeamId::from(1)).cpus,
+        c.team_usage.usage(TeamId::from(1)).cpus,
         32.0,
         "the limit of blue, though there is room for 48"
     );
@@ -245,15 +245,15 @@
     assert_eq!(c.jobs[&id].waiting.len(), 3, "no zone has room for all three");
     c.on_report(&at(4, "north", 1), T0);
     c.place(T0);
-    assert_eq!(c.jobs[&id].in_zone, [3, 0]);
-    let attempt = c.jobs[&id].attempt;
+    assert_eq!(c.jobs[&id].placements_by_zone, [3, 0]);
+    let attempt = c.jobs[&id].gang_attempt;
     // One machine goes before the gang has started: its replacement has the same attempt.
-    c.remove_machine(c.machines.id("n-2").expect("known"));
+    c.remove_machine(c.machines.id_of("n-2").expect("known"));
     c.on_report(&at(5, "north", 1), T0);
     c.place(T0);
-    let m = &c.machines[&c.machines.id("n-5").expect("known")];
-    assert!(m.entries.values().all(|e| e.attempt == attempt) && m.entries.len() == 1);
-    c.check();
+    let m = &c.machines[&c.machines.id_of("n-5").expect("known")];
+    assert!(m.assignments.values().all(|e| e.attempt == attempt) && m.assignments.len() == 1);
+    c.check_invariants();
 }
 
 fn by(machine: u32, tally: u64, parcels: &[(&str, u64, &str)]) -> Report {
@@ -261,10 +261,10 @@
 }
 
 /// What `job` has on this machine fails there.
-fn fail(c: &mut Cell, machine: u32, tally: u64, job: JobId, now: u64) {
-    let m = &c.machines[&c.machines.id(&format!("n-{machine}")).expect("known")];
+fn fail(c: &mut LeaderState, machine: u32, tally: u64, job: JobId, now: u64) {
+    let m = &c.machines[&c.machines.id_of(&format!("n-{machine}")).expect("known")];
     let on: Vec<(String, u64, bool)> =
-        m.entries.iter().map(|((id, t), e)| (c.parcel(*id, *t), e.attempt, *id == job)).collect();
+        m.assignments.iter().map(|((id, t), e)| (c.task_id(*id, *t), e.attempt, *id == job)).collect();
     let status = |fails: bool| if fails { "ended:error" } else { "running" };
     let parcels: Vec<(&str, u64, &str)> =
         on.iter().map(|(p, a, fails)| (p.as_str(), *a, status(*fails))).collect();
@@ -299,7 +299,7 @@
         assert!(c.machines.values().all(|m| !m.faulty), "round {round}");
         if round > 1 {
             let job = &c.jobs[&jobs[0]];
-            assert!(job.is_failing() && job.onto.len() <= 1);
+            assert!(job.is_failing() && job.placement_counts.len() <= 1);
             pauses.push(job.retry_at.saturating_sub(now));
         }
         now += 2500;
@@ -309,7 +309,7 @@
     assert!(c.jobs[&jobs[0]].failures < 20, "{}", c.jobs[&jobs[0]].failures);
     // And a cancellation needs no pause to end.
     c.cancel(jobs[0], now);
-    assert!(c.jobs.get(&jobs[0]).is_none_or(|j| j.onto.is_empty() && j.waiting.is_empty()));
+    assert!(c.jobs.get(&jobs[0]).is_none_or(|j| j.placement_counts.is_empty() && j.waiting.is_empty()));
 }
 
 #[test]
@@ -325,7 +325,7 @@
         }
         let class = c.jobs[&id].spec.class;
         c.on_report(&report(1, 5, TERM, &[("wk-1/0", attempt, "ended:done")]), T0 + 12_000);
-        let got = c.rates.run_s(usize::MAX, class, 77.0);
+        let got = c.run_times.expected_run_s(usize::MAX, class, 77.0);
         assert_eq!(got < 77.0, measured, "{first}: {got}");
         assert!(!may_be_there(&c, mid, id));
     }
@@ -338,14 +338,14 @@
     // 8 KiB, and 2 KiB announced.
     for (limit, least) in [(8192, 90), (2048, 20)] {
         let mut c = cell();
-        c.ledger.value_limit = limit;
+        c.write_queue.value_limit = limit;
         for n in 0..300 {
             let mut body = body(&format!("wk-{n:020}"));
             (body.team, body.tasks, body.cpus, body.mem_gb) = ("guest".into(), 1, 0.1, 0.1);
             let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
             let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
             let id = c.insert_job(spec, body, T0, T0 as i64);
-            let ver = c.touch(Key::Job(id));
+            let ver = c.mark_dirty(RecordKey::Job(id));
             c.jobs.get_mut(&id).expect("there").accept_ver = ver;
         }
         commit(&mut c);
@@ -354,13 +354,13 @@
         for pass in 0..5 {
             c.place(T0 + pass * 1000);
         }
-        let on = c.machines[&c.machines.id("n-1").expect("known")].entries.len();
+        let on = c.machines[&c.machines.id_of("n-1").expect("known")].assignments.len();
         let put = commit(&mut c).into_iter().find_map(|change| match change {
             Change::Put { put, v, .. } if put == "m/n-1" => Some(v.bytes()),
             _ => None,
         });
         let size = put.expect("recorded");
-        assert!(on >= least && size <= limit && c.ledger.held_back() == 0, "{on} tasks, {size}");
+        assert!(on >= least && size <= limit && c.write_queue.held_back_count() == 0, "{on} tasks, {size}");
     }
 }
 
@@ -374,7 +374,7 @@
         exchange(&mut c, &by(1, 1, &[]), T0);
         fail(&mut c, 1, 2, id, T0 + 600);
         assert!(
-            !c.machines[&c.machines.id("n-1").expect("known")].faulty,
+            !c.machines[&c.machines.id_of("n-1").expect("known")].faulty,
             "it may be the job's own mistake"
         );
         let got = runs(&exchange(&mut c, &by(2, 1, &[]), T0 + 700));
@@ -389,11 +389,11 @@
         }
         c.judge(T0 + 1_200 + ran);
         assert_eq!(
-            c.machines[&c.machines.id("n-1").expect("known")].faulty,
+            c.machines[&c.machines.id_of("n-1").expect("known")].faulty,
             faulty,
             "after {ran} ms"
         );
-        assert!(!c.machines[&c.machines.id("n-2").expect("known")].faulty);
+        assert!(!c.machines[&c.machines.id_of("n-2").expect("known")].faulty);
     }
 }
 
@@ -428,8 +428,8 @@
         let id = add_job(&mut c, "wk-1", |b| b.tasks = 4);
         commit(&mut c);
         exchange(&mut c, &report(1, 1, TERM, &[]), T0);
-        let mid = c.machines.id("n-1").expect("known");
-        let tries: Vec<u64> = c.machines[&mid].entries.values().map(|e| e.attempt).collect();
+        let mid = c.machines.id_of("n-1").expect("known");
+        let tries: Vec<u64> = c.machines[&mid].assignments.values().map(|e| e.attempt).collect();
         assert_eq!(tries.len(), 4);
         let list = |status| {
             let names = ["wk-1/0", "wk-1/1", "wk-1/2", "wk-1/3"];
@@ -439,7 +439,7 @@
         c.on_report(&report(1, 2, TERM, &list("pulling")), T0 + 500);
         c.on_report(&report(1, 3, TERM, &list("running")), T0 + 1000);
         // Its job's tasks took 10 s on other machines.
-        c.jobs.get_mut(&id).expect("there").runs = (5, 50.0, longest);
+        c.jobs.get_mut(&id).expect("there").run_stats = (5, 50.0, longest);
         c.on_report(&report(1, 4, TERM, &list("running")), T0 + 1000 + ran);
         c.spot_slow(T0 + 1000 + ran);
         assert_eq!(c.machines[&mid].faulty, slow, "after {ran} ms");
@@ -465,16 +465,16 @@
             b.spot = false;
         });
         commit(&mut c);
-        let stopped = |c: &Cell| {
+        let stopped = |c: &LeaderState| {
             c.machines
                 .values()
-                .flat_map(|m| m.entries.values())
-                .filter(|e| e.stop.is_some())
+                .flat_map(|m| m.assignments.values())
+                .filter(|e| e.stop_requested.is_some())
                 .count()
         };
         for _ in 0..5 {
             c.place(T0);
-            c.check();
+            c.check_invariants();
         }
         // With eight machines full, making room on two of them is enough for the limit, too.
         assert_eq!(stopped(&c), 2, "{machines}");
@@ -487,7 +487,7 @@
     // They only ever halt, by an attempt that is never used again, or carry nothing but the term.
     let (mut c, id, _, a) = started();
     c.cancel(id, T0 + 600);
-    for d in &c.direct {
+    for d in &c.direct_requests {
         let halts = |o: &Order| matches!(o, Order::Halt { attempt, .. } if *attempt == a);
         assert!(d.orders.iter().all(halts));
     }
@@ -510,7 +510,7 @@
     };
     for takeover in [T0, T0 + 5_000, T0 + 60_000] {
         let mut c = cell();
-        c.taken = takeover;
+        c.took_over_at = takeover;
         let jobs = vec![("j/wk-1".to_string(), job.clone(), 2)];
         let machines = vec![("m/n-1".to_string(), machine.clone(), 3)];
         rebuild(&mut c, Records { jobs, machines, ..Records::default() }, takeover, takeover);
@@ -551,14 +551,14 @@
         exchange(&mut c, &from(2, 3, &[(&second, a, mate)]), T0 + 1000);
         let orders = exchange(&mut c, &from(1, 3, &[(first, a, "ended:alone")]), T0 + 31_000);
         if ends {
-            assert_eq!(c.direct.len(), 1, "its mate is halted at once");
+            assert_eq!(c.direct_requests.len(), 1, "its mate is halted at once");
             c.on_report(&from(2, 4, &[(&second, a, "ended:halted")]), T0 + 32_000);
             c.place(T0 + 32_000);
-            assert!(c.jobs[&id].attempt > a, "and all start over with a new attempt");
+            assert!(c.jobs[&id].gang_attempt > a, "and all start over with a new attempt");
             continue;
         }
         // It is forgotten and started again where it was, with the attempt of its mates.
-        assert!(c.direct.is_empty() && c.jobs[&id].attempt == a);
+        assert!(c.direct_requests.is_empty() && c.jobs[&id].gang_attempt == a);
         let (parcel, attempt) = (first.to_string(), a);
         let again = [
             Order::Forget { task_id: parcel.clone(), attempt },
@@ -569,10 +569,10 @@
         let orders = exchange(&mut c, &from(1, 4, &[(first, a, "ended:alone")]), T0 + 35_000);
         assert_eq!(orders, again);
         exchange(&mut c, &from(1, 5, &[(first, a, "waiting")]), T0 + 36_000);
-        c.check();
+        c.check_invariants();
         // A mate that fetches for far too long does end the attempt.
         c.on_report(&from(1, 6, &[(first, a, "ended:alone")]), T0 + 900_000);
-        assert_eq!(c.direct.len(), 1);
+        assert_eq!(c.direct_requests.len(), 1);
     }
 }
 
@@ -585,7 +585,7 @@
         // Every type boots in 20 s, later than work has to start.
         settings.deployment.objectives[0].within_s = Some(10.0);
         c.settings = Arc::new(settings);
-        c.fleet.provided = provided;
+        c.fleet.provided_machines = provided;
         c.plan_rentals(T0);
         assert_eq!(!c.fleet.rentals.is_empty(), stands, "{provided:?}");
         // Work that waits gets its machines, but nothing is rented before the count is known.
@@ -617,7 +617,7 @@
     // Found on a grown day: once the machines of a zone that was cut off had gone back, new ones
     // were rented there, seventy of them, and none was heard for two minutes.
     let mut c = cell();
-    c.fleet.provided = Some(0);
+    c.fleet.provided_machines = Some(0);
     let (north, south) = (ZoneId(0), ZoneId(1));
     let at = |n: usize, zone: &str, tally| {
         let mut r = report(1, tally, TERM, &[]);
@@ -627,7 +627,7 @@
     for (n, zone) in [(1, "north"), (2, "south"), (3, "south")] {
         c.on_report(&at(n, zone, 1), T0);
     }
-    let zones = |c: &Cell| -> Vec<ZoneId> {
+    let zones = |c: &LeaderState| -> Vec<ZoneId> {
         let mut zones: Vec<ZoneId> = c.demand(T0).iter().map(|((_, z, _), _)| *z).collect();
         zones.dedup();
         zones
@@ -673,13 +673,13 @@
         c.place(T0);
         let batch = c.batch(16).expect("its record");
         let guard = Cond { path: "f/wk-1".into(), stamp: 0 };
-        assert!(batch.when.contains(&guard), "conditional on there being no final record");
+        assert!(batch.conditions.contains(&guard), "conditional on there being no final record");
         // It is refused, and the final record read back.
         let last = crate::records::FinalRecord { done: true, tasks: 3 };
         c.read_back("f/wk-1", Some(40), Some(last));
         assert!(c.batch(16).is_none() && c.job("wk-1").is_none() && c.queue.is_empty());
         assert_eq!(c.show("wk-1").expect("known").status, "done");
-        c.check();
+        c.check_invariants();
     }
     // The same key after an unknown outcome of this leader's own final record: written again.
     let mut c = cell();
@@ -689,19 +689,19 @@
     let last = crate::records::FinalRecord { done: false, tasks: 0 };
     c.read_back("f/wk-1", Some(40), Some(last));
     let batch = c.batch(16).expect("still to be written");
-    assert!(batch.when.contains(&Cond { path: "f/wk-1".into(), stamp: 40 }));
+    assert!(batch.conditions.contains(&Cond { path: "f/wk-1".into(), stamp: 40 }));
 }
 
 #[test]
 fn users_find_changes_left_when_machines_have_used_up_the_rest() {
     // Found on days with lowered limits: in bursts a submission waited for its turn after machines.
     let (mut c, _, mid, _) = started();
-    c.touch(Key::Machine(mid));
+    c.mark_dirty(RecordKey::Machine(mid));
     assert!(c.batch_with_reserve(4, 4).is_none(), "the rest is used up");
     add_job(&mut c, "wk-2", |_| ());
     let batch = c.batch_with_reserve(4, 4).expect("the user's record");
-    assert_eq!(batch.apply.iter().map(|x| x.path()).collect::<Vec<_>>(), ["j/wk-2"]);
-    assert_eq!(c.batch_with_reserve(4, 2).expect("both").apply.len(), 2);
+    assert_eq!(batch.changes.iter().map(|x| x.path()).collect::<Vec<_>>(), ["j/wk-2"]);
+    assert_eq!(c.batch_with_reserve(4, 2).expect("both").changes.len(), 2);
 }
 
 #[test]
@@ -721,7 +721,7 @@
         })
         .collect();
     for mid in &mids {
-        c.touch(Key::Machine(*mid));
+        c.mark_dirty(RecordKey::Machine(*mid));
     }
     let mut written = vec![];
     for rev in 0..5 {
@@ -730,15 +730,15 @@
         written.extend(batch.keys.clone());
         c.applied(&batch, 2000 + rev);
         for key in batch.keys {
-            c.touch(key);
+            c.mark_dirty(key);
         }
     }
-    assert!(mids.iter().all(|mid| written.contains(&Key::Machine(*mid))), "{written:?}");
+    assert!(mids.iter().all(|mid| written.contains(&RecordKey::Machine(*mid))), "{written:?}");
     // A finished task holds no response up; it is forgotten once its range is on record.
     let done = report(1, 9, TERM, &[("wk-1/0", a, "ended:done")]);
     c.on_report(&done, T0 + 5000);
     let forgets = |orders: Vec<Order>| orders.iter().any(|o| matches!(o, Order::Forget { .. }));
-    assert!(c.orders_ready(mid) && !c.done_saved(id, 0));
+    assert!(c.orders_ready(mid) && !c.is_done_saved(id, 0));
     let early = c.orders(mid, (1, 9), T0 + 5000, true).expect("orders");
     assert!(!forgets(early.orders));
     let later = report(1, 10, TERM, &[("wk-1/0", a, "ended:done")]);
@@ -751,15 +751,15 @@
     // heard. The job was over, so it was never sent, nor ever proven absent, and used its team's limit.
     let mut c = cell();
     let id = add_job(&mut c, "wk-1", |b| (b.kind, b.tasks) = (JobKind::Gang, 2));
-    c.applied_for_test(id);
+    c.mark_job_saved_for_test(id);
     let first = report(1, 1, TERM, &[]);
     c.on_report(&first, T0);
-    let mid = c.machines.id("n-1").expect("there");
+    let mid = c.machines.id_of("n-1").expect("there");
     for task in 0..2 {
         c.assign(mid, id, task, 9, T0);
     }
     let done = [("wk-1/0", 3, "ended:done"), ("wk-1/1", 3, "ended:done")];
     exchange(&mut c, &report(1, 2, TERM, &done), T0 + 100);
     exchange(&mut c, &report(1, 3, TERM, &done), T0 + 4_000);
-    assert!(c.machines[&mid].entries.is_empty(), "{:?}", c.machines[&mid].entries);
+    assert!(c.machines[&mid].assignments.is_empty(), "{:?}", c.machines[&mid].assignments);
 }
--- a/crates/core/src/state/aside.rs
+++ b/crates/core/src/state/aside.rs
@@ -7,35 +7,35 @@
 
 /// Which tasks may be on a machine whose record can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MayHold {
+pub enum PossibleTasks {
     /// Tasks of any job that an earlier leader knew.
-    Anything,
+    Any,
     /// Tasks of these jobs: its record names them, but not a machine that is known here.
     Jobs(BTreeSet<String>),
 }
 
 /// Jobs and machines that are set aside.
 #[derive(Debug, Default)]
-pub struct Aside {
+pub struct UnreadableRecords {
     /// Jobs that nobody here may start, cancel or take for new, and why.
     jobs: BTreeMap<Arc<str>, String>,
-    machines: BTreeMap<String, MayHold>,
+    machines: BTreeMap<String, PossibleTasks>,
     /// Paths that are never written.
     sealed: BTreeSet<String>,
 }
 
-impl Aside {
+impl UnreadableRecords {
     /// Is there nothing to look out for?
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty() && self.machines.is_empty()
     }
 
-    pub fn set_job(&mut self, uid: &str, why: String) {
+    pub fn add_job(&mut self, uid: &str, why: String) {
         self.jobs.insert(uid.into(), why);
     }
 
     /// Why a job is set aside, if it is.
-    pub fn job(&self, uid: &str) -> Option<&str> {
+    pub fn job_reason(&self, uid: &str) -> Option<&str> {
         self.jobs.get(uid).map(String::as_str)
     }
 
@@ -43,16 +43,16 @@
         self.jobs.keys().cloned().collect()
     }
 
-    pub fn set_machine(&mut self, name: &str, may_hold: MayHold) {
+    pub fn add_machine(&mut self, name: &str, may_hold: PossibleTasks) {
         self.machines.insert(name.into(), may_hold);
     }
 
-    pub fn machine(&self, name: &str) -> bool {
+    pub fn has_machine(&self, name: &str) -> bool {
         self.machines.contains_key(name)
     }
 
     /// Are there machines aside of which not even the name is known: those of a pack that can't be read?
-    pub fn hides_any(&self) -> bool {
+    pub fn has_unreadable_pack(&self) -> bool {
         self.machines.keys().any(|name| name.starts_with("p/"))
     }
 
@@ -61,23 +61,23 @@
     }
 
     /// What is on this machine is known from here on. False: it was before.
-    pub fn clear_machine(&mut self, name: &str) -> bool {
+    pub fn remove_machine(&mut self, name: &str) -> bool {
         self.machines.remove(name).is_some()
     }
 
     /// May any of these machines hold tasks of this job, which an earlier leader knew?
-    pub fn may_hold(&self, uid: &str) -> bool {
+    pub fn may_hold_job(&self, uid: &str) -> bool {
         self.machines.values().any(|m| match m {
-            MayHold::Anything => true,
-            MayHold::Jobs(jobs) => jobs.contains(uid),
+            PossibleTasks::Any => true,
+            PossibleTasks::Jobs(jobs) => jobs.contains(uid),
         })
     }
 
-    pub fn seal(&mut self, path: &str) {
+    pub fn write_protect(&mut self, path: &str) {
         self.sealed.insert(path.into());
     }
 
-    pub fn is_sealed(&self, path: &str) -> bool {
+    pub fn is_write_protected(&self, path: &str) -> bool {
         self.sealed.contains(path)
     }
 
@@ -93,24 +93,24 @@
 
     #[test]
     fn a_machine_of_which_nothing_is_known_may_hold_anything() {
-        let some = |uids: &[&str]| MayHold::Jobs(uids.iter().map(ToString::to_string).collect());
-        type Case<'a> = (&'a [(&'a str, MayHold)], bool, bool);
+        let some = |uids: &[&str]| PossibleTasks::Jobs(uids.iter().map(ToString::to_string).collect());
+        type Case<'a> = (&'a [(&'a str, PossibleTasks)], bool, bool);
         let cases: [Case; 4] = [
             (&[], false, false),
             (&[("n-1", some(&["wk-1"]))], true, false),
             (&[("n-1", some(&["wk-1"])), ("n-2", some(&[]))], true, false),
-            (&[("n-1", some(&["wk-1"])), ("n-2", MayHold::Anything)], true, true),
+            (&[("n-1", some(&["wk-1"])), ("n-2", PossibleTasks::Any)], true, true),
         ];
         for (machines, one, two) in cases {
-            let mut aside = Aside::default();
+            let mut aside = UnreadableRecords::default();
             for (name, may_hold) in machines {
-                aside.set_machine(name, may_hold.clone());
+                aside.add_machine(name, may_hold.clone());
             }
-            assert_eq!((aside.may_hold("wk-1"), aside.may_hold("wk-2")), (one, two));
+            assert_eq!((aside.may_hold_job("wk-1"), aside.may_hold_job("wk-2")), (one, two));
             for (name, _) in machines {
-                assert!(aside.clear_machine(name) && !aside.clear_machine(name));
+                assert!(aside.remove_machine(name) && !aside.remove_machine(name));
             }
-            assert!(aside.is_empty() && !aside.may_hold("wk-1"));
+            assert!(aside.is_empty() && !aside.may_hold_job("wk-1"));
         }
     }
 }
--- a/crates/core/src/state/finals.rs
+++ b/crates/core/src/state/finals.rs
@@ -7,14 +7,14 @@
 const FINALS_KEPT: usize = 3000;
 
 #[derive(Debug, Default)]
-pub struct Finals {
+pub struct FinalRecordCache {
     records: HashMap<Arc<str>, FinalRecord>,
     order: VecDeque<Arc<str>>,
 }
 
-impl Finals {
+impl FinalRecordCache {
     /// Remembers how a job ended, and forgets the oldest beyond a bound.
-    pub fn remember(&mut self, uid: Arc<str>, record: FinalRecord) {
+    pub fn insert(&mut self, uid: Arc<str>, record: FinalRecord) {
         if self.records.insert(uid.clone(), record).is_none() {
             self.order.push_back(uid);
         }
@@ -29,7 +29,7 @@
         self.records.get(uid)
     }
 
-    pub fn has(&self, uid: &str) -> bool {
+    pub fn contains(&self, uid: &str) -> bool {
         self.records.contains_key(uid)
     }
 }
@@ -40,13 +40,13 @@
 
     #[test]
     fn the_oldest_goes_first_and_a_repeat_takes_no_place() {
-        let mut f = Finals::default();
+        let mut f = FinalRecordCache::default();
         for n in 0..FINALS_KEPT as u32 + 2 {
             for _ in 0..2 {
-                f.remember(format!("wk-{n}").into(), FinalRecord { done: true, tasks: n });
+                f.insert(format!("wk-{n}").into(), FinalRecord { done: true, tasks: n });
             }
         }
-        assert!(!f.has("wk-0") && !f.has("wk-1") && f.get("wk-2").is_some_and(|r| r.tasks == 2));
+        assert!(!f.contains("wk-0") && !f.contains("wk-1") && f.get("wk-2").is_some_and(|r| r.tasks == 2));
         assert_eq!(f.records.len(), FINALS_KEPT);
     }
 }
--- a/crates/core/src/state/hearing.rs
+++ b/crates/core/src/state/hearing.rs
@@ -17,7 +17,7 @@
 
 /// How a worker takes its answers.
 #[derive(Debug, Default)]
-pub struct Hearing {
+pub struct ResponseTracker {
     /// The session of the report that was answered last, and what to look for.
     asked: Option<(u64, Sign)>,
     missed: u32,
@@ -25,22 +25,22 @@
     deaf: Option<u64>,
 }
 
-impl Hearing {
-    pub fn is_deaf(&self) -> bool {
+impl ResponseTracker {
+    pub fn is_unresponsive(&self) -> bool {
         self.deaf.is_some()
     }
 
-    pub(crate) fn deaf(&self) -> Option<u64> {
+    pub(crate) fn unresponsive_since(&self) -> Option<u64> {
         self.deaf
     }
 
     #[cfg(test)]
-    pub(crate) fn deaf_since(at: u64) -> Hearing {
-        Hearing { deaf: Some(at), ..Hearing::default() }
+    pub(crate) fn new_unresponsive(at: u64) -> ResponseTracker {
+        ResponseTracker { deaf: Some(at), ..ResponseTracker::default() }
     }
 
     /// Its report was answered with these orders, of which it shows signs if it hears.
-    pub(crate) fn answered(&mut self, session: u64, orders: &[Order], of_term: bool) {
+    pub(crate) fn record_response(&mut self, session: u64, orders: &[Order], of_term: bool) {
         let run = orders.iter().find_map(|o| match o {
             Order::Run { task_id: parcel, attempt } => Some(Sign::Lists(parcel.clone(), *attempt)),
             _ => None,
@@ -57,7 +57,7 @@
 
     /// A newer report: does it show that the answer to the one before was carried out? Some: it is taken for deaf from
     /// now on, or no more.
-    pub(crate) fn heard(&mut self, r: &Report, term: u64, now: u64) -> Option<bool> {
+    pub(crate) fn check_report(&mut self, r: &Report, term: u64, now: u64) -> Option<bool> {
         let (session, sign) = self.asked.take()?;
         let lists = |parcel: &str, attempt: u64| {
             r.tasks.iter().any(|p| p.task_id == parcel && p.attempt == attempt)
@@ -110,9 +110,9 @@
             (vec![run(4)], true, lists(&[]), 2, 1),
         ];
         for (i, (orders, of_term, next, session, missed)) in rows.into_iter().enumerate() {
-            let mut h = Hearing::default();
-            h.answered(session, &orders, of_term);
-            h.heard(&next, TERM, T0);
+            let mut h = ResponseTracker::default();
+            h.record_response(session, &orders, of_term);
+            h.check_report(&next, TERM, T0);
             assert_eq!(h.missed, missed, "row {i}");
             assert!(h.asked.is_none(), "each sign is looked for once");
         }
--- a/crates/core/src/state/links.rs
+++ b/crates/core/src/state/links.rs
@@ -8,54 +8,54 @@
 
 /// Which job waits for which.
 #[derive(Debug, Default)]
-pub struct Links {
+pub struct Dependencies {
     /// The jobs that need a job, by its id.
-    pub(crate) needed: BTreeMap<Arc<str>, Vec<JobId>>,
+    pub(crate) dependents: BTreeMap<Arc<str>, Vec<JobId>>,
     /// Jobs of which it is recorded that they are done, or else cancelled, while those that need
     /// them have not been told yet.
-    pub(crate) decided: VecDeque<(Arc<str>, bool)>,
+    pub(crate) unpropagated_outcomes: VecDeque<(Arc<str>, bool)>,
     /// Jobs that are waited for and not open: how they ended has to be read after a takeover.
-    pub(crate) unread: BTreeSet<Arc<str>>,
+    pub(crate) unread_outcomes: BTreeSet<Arc<str>>,
     /// Jobs that get at least this priority and urgency.
-    pub(crate) raise: VecDeque<(Arc<str>, Priority, Option<i64>)>,
+    pub(crate) pending_raises: VecDeque<(Arc<str>, Priority, Option<i64>)>,
     /// Jobs whose priority and urgency has to be worked out anew: one that needed them is no more.
-    pub(crate) review: BTreeSet<Arc<str>>,
+    pub(crate) pending_reviews: BTreeSet<Arc<str>>,
     /// Cancelled with others, their ends still to be recorded. What is recorded already says so;
     /// this only spares later leaders the work, and waits until others have little to write.
-    pub(crate) endings: VecDeque<JobId>,
+    pub(crate) deferred_finals: VecDeque<JobId>,
     /// What is listed in records of its own.
     pub(crate) parts: BTreeMap<(Arc<str>, u32), Vec<Arc<str>>>,
 }
 
-impl Links {
+impl Dependencies {
     /// Has everything that is recorded reached the jobs that wait?
-    pub fn settled(&self) -> bool {
-        self.decided.is_empty() && self.unread.is_empty()
+    pub fn is_settled(&self) -> bool {
+        self.unpropagated_outcomes.is_empty() && self.unread_outcomes.is_empty()
     }
 
-    pub fn decide(&mut self, uid: Arc<str>, done: bool) {
-        if self.needed.contains_key(&uid) {
-            self.decided.push_back((uid, done));
+    pub fn record_outcome(&mut self, uid: Arc<str>, done: bool) {
+        if self.dependents.contains_key(&uid) {
+            self.unpropagated_outcomes.push_back((uid, done));
         }
     }
 
     /// Up to `n` jobs whose end has to be read.
-    pub fn unread(&self, n: usize) -> Vec<Arc<str>> {
-        self.unread.iter().take(n).cloned().collect()
+    pub fn next_unread_outcomes(&self, n: usize) -> Vec<Arc<str>> {
+        self.unread_outcomes.iter().take(n).cloned().collect()
     }
 
     /// A job's end was read; without one it is open under other settings, and waited for.
-    pub fn read(&mut self, uid: &str, done: Option<bool>) {
-        if let Some(uid) = self.unread.take(uid)
+    pub fn resolve_outcome(&mut self, uid: &str, done: Option<bool>) {
+        if let Some(uid) = self.unread_outcomes.take(uid)
             && let Some(done) = done
         {
-            self.decide(uid, done);
+            self.record_outcome(uid, done);
         }
     }
 
     /// This job needs nobody any more.
-    pub fn reconsider(&mut self, job: &Job) {
-        self.review.extend(job.awaits.iter().cloned());
+    pub fn queue_reviews(&mut self, job: &Job) {
+        self.pending_reviews.extend(job.pending_dependencies.iter().cloned());
     }
 
     pub fn forget(&mut self, uid: &str) {
@@ -67,13 +67,13 @@
     }
 
     /// What a waiting job's own record lists.
-    pub fn inline<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Arc<str>> {
-        let parts = (0..job.parts).filter_map(|p| self.part(&job.spec.uid, p)).flatten();
+    pub fn inline_dependencies<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Arc<str>> {
+        let parts = (0..job.dependency_parts).filter_map(|p| self.part(&job.spec.uid, p)).flatten();
         let elsewhere: BTreeSet<&Arc<str>> = parts.collect();
-        job.awaits.iter().filter(move |uid| !elsewhere.contains(uid))
+        job.pending_dependencies.iter().filter(move |uid| !elsewhere.contains(uid))
     }
 
-    pub fn waiting_for(&self, uid: &str) -> usize {
-        self.needed.get(uid).map_or(0, Vec::len)
+    pub fn dependent_count(&self, uid: &str) -> usize {
+        self.dependents.get(uid).map_or(0, Vec::len)
     }
 }
