--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,117 +1,117 @@
 //! Machines: what each may hold, and what its worker last said.
 
 use crate::records::OnRecord;
-use crate::state::hearing::Hearing;
-use crate::state::job::Spec;
+use crate::state::hearing::ResponseTracker;
+use crate::state::job::JobSpec;
 use crate::state::names::*;
-use crate::state::table::Row;
+use crate::state::table::HasName;
 use copperhaven_wire::workers::Order;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Orders for `/commands`: only `halt`s, a nudge (`workers::nudges`), or nothing but the new term.
 #[derive(Debug)]
-pub struct Direct {
+pub struct DirectRequest {
     /// None: its record can't be used.
     pub machine: Option<MachineId>,
     pub addr: String,
-    pub shift: u64,
+    pub session: u64,
     pub orders: Vec<Order>,
 }
 
 /// How far a task on a machine was last seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum ObservedState {
     /// Never listed by a report of this term.
-    Not,
+    NotReported,
     Pulling,
     Waiting,
     Running,
-    Saving,
+    Checkpointing,
 }
 
 /// A task that may be on a machine.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct Assignment {
     pub attempt: u64,
     /// Version of the machine's record that lists it.
     pub ver: u64,
     /// The last report whose response carried its `run`, in this term.
-    pub mark: Option<(u64, u64)>,
+    pub run_sent_with: Option<(u64, u64)>,
     /// From an earlier leader's records, not yet spoken for by a report.
-    pub inherited: bool,
-    pub seen: Seen,
+    pub unconfirmed: bool,
+    pub observed: ObservedState,
     pub assigned_at: u64,
-    pub running_at: u64,
+    pub running_since: u64,
     /// Told to stop: since when, with what grace.
-    pub stop: Option<(u64, f64)>,
+    pub stop_requested: Option<(u64, f64)>,
 }
 
-impl Entry {
-    pub fn new(attempt: u64, ver: u64, now: u64) -> Entry {
-        Entry {
+impl Assignment {
+    pub fn new(attempt: u64, ver: u64, now: u64) -> Assignment {
+        Assignment {
             attempt,
             ver,
-            mark: None,
-            inherited: false,
-            seen: Seen::Not,
+            run_sent_with: None,
+            unconfirmed: false,
+            observed: ObservedState::NotReported,
             assigned_at: now,
-            running_at: 0,
-            stop: None,
+            running_since: 0,
+            stop_requested: None,
         }
     }
 }
 
 #[derive(Debug)]
-pub struct Ended {
+pub struct EndedTask {
     pub(crate) id: Option<JobId>,
     pub(crate) task: u32,
-    pub(crate) parcel: String,
+    pub(crate) task_id: String,
     pub(crate) attempt: u64,
     pub(crate) done: bool,
 }
 
-pub const RESERVE_MS: u64 = 30_000;
+pub const RESERVATION_MS: u64 = 30_000;
 
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
     pub addr: String,
-    pub kind: TypeId,
+    pub machine_type: TypeId,
     pub zone: ZoneId,
     pub spot: bool,
     pub cpus: f64,
-    pub cards: f64,
+    pub gpus: f64,
     pub mem_gb: f64,
     pub used_cpus: f64,
-    pub used_cards: f64,
+    pub used_gpus: f64,
     pub used_mem: f64,
-    pub entries: BTreeMap<(JobId, u32), Entry>,
+    pub assignments: BTreeMap<(JobId, u32), Assignment>,
     /// Newest report: session and number.
-    pub last: (u64, u64),
+    pub last_report: (u64, u64),
     /// The newest report that was answered with orders, and the one after which a nudge was sent.
-    pub(crate) replied: (u64, u64),
-    pub(crate) nudged: (u64, u64),
+    pub(crate) last_ordered_report: (u64, u64),
+    pub(crate) last_requested_report: (u64, u64),
     /// Does its worker carry out the answers to its reports?
-    pub hearing: Hearing,
+    pub response_tracker: ResponseTracker,
     /// The worker has shown this term, so no older leader can reach it any more.
     pub fenced: bool,
     /// Receipt of the last report that was answered; 0: none in this term.
-    pub answered: u64,
-    pub heard: u64,
-    pub recall_at: Option<u64>,
+    pub last_answered_at: u64,
+    pub last_report_at: u64,
+    pub reclaim_at: Option<u64>,
     /// Images that it should have, the most recent last.
     pub images: Vec<(ImageId, f64)>,
     pub(crate) cache_gb: f64,
-    pub(crate) ended: Vec<Ended>,
+    pub(crate) ended_tasks: Vec<EndedTask>,
     /// Tasks of jobs that are set aside and that may be on it: its record goes on listing them.
-    pub foreign: Vec<OnRecord>,
+    pub unreadable_job_tasks: Vec<OnRecord>,
     /// Tasks it lists that belong to no open job.
-    pub(crate) strays: Vec<(String, u64)>,
+    pub(crate) orphan_tasks: Vec<(String, u64)>,
     /// Failed tasks since its last success: of jobs that are known to run elsewhere, and of jobs
     /// of which that is not known, whose own mistake it may be.
-    pub blamed: u32,
-    pub accused: BTreeMap<JobId, u32>,
+    pub machine_failures: u32,
+    pub suspect_failures: BTreeMap<JobId, u32>,
     pub faulty: bool,
     /// Set aside for running its tasks slowly: what they can save is worth saving.
     pub slow: bool,
@@ -119,15 +119,15 @@
     pub leaving: bool,
     pub idle_since: u64,
     /// Since when it is paid for; 0 if that is not known.
-    pub rented: u64,
+    pub paid_since: u64,
     /// Kept free for this job until then.
     pub reserved: Option<(JobId, u64)>,
 }
 
 impl Machine {
-    pub fn add(&mut self, spec: &Spec) {
+    pub fn add_task(&mut self, spec: &JobSpec) {
         self.used_cpus += spec.cpus;
-        self.used_cards += spec.cards;
+        self.used_gpus += spec.gpus;
         self.used_mem += spec.mem_gb;
         self.images.retain(|(i, _)| *i != spec.image);
         self.images.push((spec.image, spec.image_gb));
@@ -138,26 +138,26 @@
         }
     }
 
-    pub fn sub(&mut self, spec: &Spec, empty: bool) {
+    pub fn remove_task(&mut self, spec: &JobSpec, empty: bool) {
         self.used_cpus -= spec.cpus;
-        self.used_cards -= spec.cards;
+        self.used_gpus -= spec.gpus;
         self.used_mem -= spec.mem_gb;
         if empty {
-            (self.used_cpus, self.used_cards, self.used_mem) = (0.0, 0.0, 0.0);
+            (self.used_cpus, self.used_gpus, self.used_mem) = (0.0, 0.0, 0.0);
         }
     }
 
-    pub fn usable(&self, now: u64, silence: u64) -> bool {
+    pub fn is_usable(&self, now: u64, silence: u64) -> bool {
         self.fenced
             && !self.faulty
-            && !self.hearing.is_deaf()
+            && !self.response_tracker.is_unresponsive()
             && !self.leaving
-            && self.recall_at.is_none()
-            && now < self.heard + silence
+            && self.reclaim_at.is_none()
+            && now < self.last_report_at + silence
     }
 }
 
-impl Row for Machine {
+impl HasName for Machine {
     fn name(&self) -> Arc<str> {
         self.name.as_str().into()
     }
--- a/crates/core/src/state/names.rs
+++ b/crates/core/src/state/names.rs
@@ -13,7 +13,7 @@
             fn from(i: usize) -> Self { $name(i as u32) }
         }
         impl $name {
-            pub fn ix(self) -> usize { self.0 as usize }
+            pub fn index(self) -> usize { self.0 as usize }
         }
     )*};
 }
--- a/crates/core/src/state/packs.rs
+++ b/crates/core/src/state/packs.rs
@@ -14,10 +14,10 @@
 /// Below so much of a value for each of two machines none are packed.
 const LEAST: usize = 2048;
 /// Machines to a pack at most, and how many lists that did not change may be written along.
-pub const MOST: usize = 16;
+pub const MAX_PACK_MACHINES: usize = 16;
 const ALONG: usize = 4;
 /// What a pack has around its lists.
-pub const FRAME_BYTES: usize = 16;
+pub const PACK_OVERHEAD_BYTES: usize = 16;
 
 /// A pack, by its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -58,27 +58,27 @@
 
 /// A machine that has something to record, and how long its list is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Dirty {
-    pub mid: MachineId,
+pub struct DirtyMachine {
+    pub machine_id: MachineId,
     pub bytes: usize,
 }
 
 impl Packs {
     /// Machines are packed from here on, if a value has room for two.
-    pub fn turn_on(&mut self, value_limit: usize) {
+    pub fn enable(&mut self, value_limit: usize) {
         self.on = value_limit >= 2 * LEAST;
     }
 
-    pub fn turn_off(&mut self) {
+    pub fn disable(&mut self) {
         self.on = false;
     }
 
-    pub fn are_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.on
     }
 
     /// A pack is on record; one that can't be used is never written.
-    pub fn begin(&mut self, pack: PackId, usable: bool) {
+    pub fn register(&mut self, pack: PackId, usable: bool) {
         self.next = self.next.max(pack.0.saturating_add(1));
         if usable {
             self.members.entry(pack).or_default();
@@ -89,7 +89,7 @@
 
     /// As an earlier leader had it. Listed by several packs, it belongs to the first, and the others go on listing it
     /// until the version `ver` of what all of them say is safe.
-    pub fn inherit(&mut self, mid: MachineId, pack: PackId, ver: u64) {
+    pub fn restore(&mut self, mid: MachineId, pack: PackId, ver: u64) {
         match self.of.get(&mid) {
             None => self.put(mid, pack),
             Some(of) if *of == pack => {}
@@ -98,12 +98,12 @@
     }
 
     /// This machine's list has a record of its own as well, that goes with the next write.
-    pub fn to_move(&mut self, mid: MachineId) {
+    pub fn mark_unmoved(&mut self, mid: MachineId) {
         self.unmoved.insert(mid);
     }
 
     /// The next of those machines, to be written.
-    pub fn next_to_move(&mut self) -> Option<MachineId> {
+    pub fn pop_unmoved(&mut self) -> Option<MachineId> {
         self.unmoved.pop_first()
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// The list of a machine is safe where it belongs, as of its version `ver`: other packs need not list it.
-    pub fn settle(&mut self, mid: MachineId, ver: u64) {
+    pub fn mark_list_saved(&mut self, mid: MachineId, ver: u64) {
         for (pack, _) in self.shadows.get(&mid).into_iter().flatten().filter(|(_, v)| **v <= ver) {
             if take_out(&mut self.shadowed, *pack, mid) {
                 self.stale.entry(*pack).or_default().insert(mid);
@@ -141,20 +141,20 @@
     /// Which machines of those that have something to record go to which pack, so that few values are written. Filled
     /// are packs of which little else would be written along; among those the fullest, so that they stay few. `listed`
     /// tells how long the list of any machine is.
-    pub fn plan(
+    pub fn plan_moves(
         &self,
-        dirty: &[Dirty],
+        dirty: &[DirtyMachine],
         value_limit: usize,
         listed: impl Fn(MachineId) -> usize,
     ) -> Vec<(MachineId, PackId)> {
-        let limit = value_limit.saturating_sub(FRAME_BYTES);
-        let all: BTreeSet<MachineId> = dirty.iter().map(|d| d.mid).collect();
+        let limit = value_limit.saturating_sub(PACK_OVERHEAD_BYTES);
+        let all: BTreeSet<MachineId> = dirty.iter().map(|d| d.machine_id).collect();
         // What would be written along, by pack: clean lists and shadows that have to stay.
         let mut targets: Vec<(usize, PackId)> = self
             .members
             .keys()
             .filter(|p| !self.sealed.contains(p))
-            .map(|p| (self.written(*p).filter(|mid| !all.contains(mid)).count(), *p))
+            .map(|p| (self.listed_machines(*p).filter(|mid| !all.contains(mid)).count(), *p))
             .filter(|(along, _)| *along <= ALONG)
             .collect();
         targets.sort_unstable();
@@ -165,12 +165,12 @@
         let mut from = 0;
         while from < dirty.len() {
             let left = dirty.len() - settled.len();
-            let most = if crowded { ALONG } else { (MOST - left.min(MOST)).min(ALONG) };
+            let most = if crowded { ALONG } else { (MAX_PACK_MACHINES - left.min(MAX_PACK_MACHINES)).min(ALONG) };
             let upto = targets.partition_point(|(along, _)| *along <= most);
             let (pack, there) = match upto.checked_sub(1) {
                 Some(i) => {
                     let (_, pack) = targets.remove(i);
-                    (pack, self.written(pack).collect::<Vec<_>>())
+                    (pack, self.listed_machines(pack).collect::<Vec<_>>())
                 }
                 None => {
                     next += 1;
@@ -179,22 +179,22 @@
             };
             let mut count = there.len();
             let mut bytes: usize = there.iter().map(|mid| listed(*mid)).sum();
-            if count > MOST || bytes > limit {
+            if count > MAX_PACK_MACHINES || bytes > limit {
                 continue;
             }
-            settled.extend(there.iter().filter(|m| all.contains(m) && self.of(**m) == Some(pack)));
+            settled.extend(there.iter().filter(|m| all.contains(m) && self.pack_of(**m) == Some(pack)));
             for d in dirty[from..].iter() {
-                if settled.contains(&d.mid) {
+                if settled.contains(&d.machine_id) {
                     continue;
                 }
-                if count > 0 && (count >= MOST || bytes + d.bytes > limit) {
+                if count > 0 && (count >= MAX_PACK_MACHINES || bytes + d.bytes > limit) {
                     break;
                 }
                 (count, bytes) = (count + 1, bytes + d.bytes);
-                settled.insert(d.mid);
-                out.push((d.mid, pack));
+                settled.insert(d.machine_id);
+                out.push((d.machine_id, pack));
             }
-            while dirty.get(from).is_some_and(|d| settled.contains(&d.mid)) {
+            while dirty.get(from).is_some_and(|d| settled.contains(&d.machine_id)) {
                 from += 1;
             }
         }
@@ -203,13 +203,13 @@
 
     /// A machine's list goes to another pack from its version `ver` on. Where it was listed it stays until that is safe.
     pub fn move_to(&mut self, mid: MachineId, pack: PackId, ver: u64) {
-        self.leave(mid, ver);
+        self.leave_pack(mid, ver);
         self.next = self.next.max(pack.0.saturating_add(1));
         self.put(mid, pack);
     }
 
     /// A machine gets a record of its own again, of this version. Until that is safe its pack lists it as well.
-    pub fn leave(&mut self, mid: MachineId, ver: u64) {
+    pub fn leave_pack(&mut self, mid: MachineId, ver: u64) {
         self.unmoved.remove(&mid);
         for (pack, v) in self.shadows.get_mut(&mid).into_iter().flatten() {
             // What was to take their place may never have been written.
@@ -226,7 +226,7 @@
     }
 
     /// Packs that still list a machine which has a safe record of its own, to be written without it.
-    pub fn left(&self, mid: MachineId) -> Vec<PackId> {
+    pub fn stale_packs(&self, mid: MachineId) -> Vec<PackId> {
         if self.of.contains_key(&mid) {
             return vec![];
         }
@@ -242,7 +242,7 @@
     }
 
     /// A pack was written: it lists no more what was safe elsewhere by then.
-    pub fn written_anew(&mut self, pack: PackId) {
+    pub fn pack_rewritten(&mut self, pack: PackId) {
         for mid in self.stale.remove(&pack).unwrap_or_default() {
             self.forget_shadow(mid, pack);
         }
@@ -268,18 +268,18 @@
         packs
     }
 
-    pub fn of(&self, mid: MachineId) -> Option<PackId> {
+    pub fn pack_of(&self, mid: MachineId) -> Option<PackId> {
         self.of.get(&mid).copied()
     }
 
     /// Whose lists the value of a pack holds when it is written: its own machines', and those that left it and whose
     /// lists are not safe elsewhere.
-    pub fn written(&self, pack: PackId) -> impl Iterator<Item = MachineId> + '_ {
+    pub fn listed_machines(&self, pack: PackId) -> impl Iterator<Item = MachineId> + '_ {
         let own = self.members.get(&pack).into_iter().flatten();
         own.chain(self.shadowed.get(&pack).into_iter().flatten()).copied()
     }
 
-    pub fn packed(&self) -> Vec<MachineId> {
+    pub fn packed_machines(&self) -> Vec<MachineId> {
         self.of.keys().copied().collect()
     }
 
@@ -300,29 +300,29 @@
 
     const LIMIT: usize = 4096;
 
-    fn dirty(mids: &[usize]) -> Vec<Dirty> {
-        mids.iter().map(|m| Dirty { mid: MachineId(*m as u32), bytes: 200 }).collect()
+    fn dirty(mids: &[usize]) -> Vec<DirtyMachine> {
+        mids.iter().map(|m| DirtyMachine { machine_id: MachineId(*m as u32), bytes: 200 }).collect()
     }
 
     /// Plans and moves. Packs by machine.
     fn moved(p: &mut Packs, mids: &[usize]) -> Vec<u32> {
         let d = dirty(mids);
-        for (mid, pack) in p.plan(&d, LIMIT, |_| 200) {
+        for (mid, pack) in p.plan_moves(&d, LIMIT, |_| 200) {
             p.move_to(mid, pack, 9);
         }
-        d.iter().map(|d| p.of(d.mid).expect("packed").0).collect()
+        d.iter().map(|d| p.pack_of(d.machine_id).expect("packed").0).collect()
     }
 
     /// All that has moved is safe, and every pack was written since.
     fn settled(p: &mut Packs) {
-        (0..100).for_each(|m| p.settle(MachineId(m), u64::MAX));
-        (0..p.next).for_each(|n| p.written_anew(PackId(n)));
+        (0..100).for_each(|m| p.mark_list_saved(MachineId(m), u64::MAX));
+        (0..p.next).for_each(|n| p.pack_rewritten(PackId(n)));
     }
 
     #[test]
     fn what_changes_together_is_written_together() {
         let mut p = Packs::default();
-        p.turn_on(LIMIT);
+        p.enable(LIMIT);
         assert_eq!(moved(&mut p, &[1, 2, 3]), [0, 0, 0]);
         assert_eq!(moved(&mut p, &[4, 5]), [0, 0], "a pack is filled before another is begun");
         assert_eq!(moved(&mut p, &[6, 7, 8, 9]), [1, 1, 1, 1], "five would be written along");
@@ -341,73 +341,73 @@
     #[test]
     fn a_pack_goes_on_listing_who_left_until_that_is_safe() {
         let mut p = Packs::default();
-        p.turn_on(LIMIT);
+        p.enable(LIMIT);
         moved(&mut p, &[1, 2, 3]);
         p.move_to(MachineId(1), PackId(7), 20);
         let lists = |p: &Packs, pack| -> Vec<u32> {
-            let mut l: Vec<u32> = p.written(PackId(pack)).map(|m| m.0).collect();
+            let mut l: Vec<u32> = p.listed_machines(PackId(pack)).map(|m| m.0).collect();
             l.sort_unstable();
             l
         };
         assert_eq!((lists(&p, 0), lists(&p, 7)), (vec![1, 2, 3], vec![1]));
         // Moved on before it was safe anywhere: the first place holds it until the last one does.
         p.move_to(MachineId(1), PackId(8), 30);
-        p.settle(MachineId(1), 29);
+        p.mark_list_saved(MachineId(1), 29);
         assert_eq!(lists(&p, 0), [1, 2, 3]);
-        p.settle(MachineId(1), 30);
+        p.mark_list_saved(MachineId(1), 30);
         assert_eq!(lists(&p, 0), [2, 3]);
         // Until it is written anew it lists it on record: a machine that is gone by then has it written.
         let mut gone = p.remove(MachineId(1));
         gone.sort_unstable();
         assert_eq!(gone, [PackId(0), PackId(7), PackId(8)]);
         p.move_to(MachineId(3), PackId(8), 35);
-        p.settle(MachineId(3), 35);
-        p.written_anew(PackId(0));
+        p.mark_list_saved(MachineId(3), 35);
+        p.pack_rewritten(PackId(0));
         assert_eq!(p.remove(MachineId(3)), [PackId(8)], "not where it is listed no more");
         // Back where it was, it is listed as its own.
         p.move_to(MachineId(2), PackId(8), 40);
         p.move_to(MachineId(2), PackId(0), 41);
         assert_eq!((lists(&p, 0), lists(&p, 8)), (vec![2], vec![2]));
-        p.settle(MachineId(2), 41);
+        p.mark_list_saved(MachineId(2), 41);
         assert_eq!((lists(&p, 0), lists(&p, 8)), (vec![2], vec![]));
     }
 
     #[test]
     fn what_an_earlier_leader_had_stays_and_what_can_t_be_read_is_never_written() {
         let mut p = Packs::default();
-        p.begin(PackId(0), false);
-        p.begin(PackId(4), false);
-        p.begin(PackId(2), true);
-        p.begin(PackId(3), true);
-        p.inherit(MachineId(1), PackId(2), 5);
-        p.inherit(MachineId(1), PackId(3), 5);
+        p.register(PackId(0), false);
+        p.register(PackId(4), false);
+        p.register(PackId(2), true);
+        p.register(PackId(3), true);
+        p.restore(MachineId(1), PackId(2), 5);
+        p.restore(MachineId(1), PackId(3), 5);
         assert_eq!(
-            p.of(MachineId(1)),
+            p.pack_of(MachineId(1)),
             Some(PackId(2)),
             "in one, and listed by the other until it is written"
         );
-        assert_eq!(p.written(PackId(3)).collect::<Vec<_>>(), [MachineId(1)]);
-        p.turn_on(16 << 10);
+        assert_eq!(p.listed_machines(PackId(3)).collect::<Vec<_>>(), [MachineId(1)]);
+        p.enable(16 << 10);
         assert!([2, 3].contains(&moved(&mut p, &[2])[0]), "never where it is sealed");
         for (limit, on) in [(1536, false), (4095, false), (4096, true)] {
             let mut p = Packs::default();
-            p.turn_on(limit);
-            assert_eq!(p.are_on(), on, "{limit}");
+            p.enable(limit);
+            assert_eq!(p.is_enabled(), on, "{limit}");
         }
     }
 
     #[test]
     fn long_lists_are_alone_and_no_value_is_planned_beyond_its_limit() {
         let mut p = Packs::default();
-        p.turn_on(LIMIT);
+        p.enable(LIMIT);
         let sizes = [3000, 500, 700, 4090, 100, 9000];
-        let d: Vec<Dirty> = sizes
+        let d: Vec<DirtyMachine> = sizes
             .iter()
             .enumerate()
-            .map(|(m, bytes)| Dirty { mid: MachineId(m as u32), bytes: *bytes })
+            .map(|(m, bytes)| DirtyMachine { machine_id: MachineId(m as u32), bytes: *bytes })
             .collect();
         for _ in 0..3 {
-            for (mid, pack) in p.plan(&d, LIMIT, |m| sizes[m.0 as usize]) {
+            for (mid, pack) in p.plan_moves(&d, LIMIT, |m| sizes[m.0 as usize]) {
                 p.move_to(mid, pack, 9);
             }
         }
@@ -419,7 +419,7 @@
                 .flatten()
                 .map(|m| sizes[m.0 as usize])
                 .collect();
-            assert!(on.len() <= 1 || on.iter().sum::<usize>() <= LIMIT - FRAME_BYTES, "{on:?}");
+            assert!(on.len() <= 1 || on.iter().sum::<usize>() <= LIMIT - PACK_OVERHEAD_BYTES, "{on:?}");
         }
     }
 }
--- a/crates/core/src/state/rates.rs
+++ b/crates/core/src/state/rates.rs
@@ -6,18 +6,18 @@
 /// Mean run times of finished tasks, by pool and class. Only tasks that ended as `done` count, so
 /// a machine that fails its tasks fast does not look quick.
 #[derive(Debug)]
-pub struct Rates {
+pub struct RunTimes {
     window: f64,
     by_pool: Vec<FxHashMap<ClassId, (f64, f64)>>,
     by_class: FxHashMap<ClassId, (f64, f64)>,
 }
 
-impl Rates {
-    pub fn new(pools: usize, window: f64) -> Rates {
-        Rates { window, by_pool: vec![FxHashMap::default(); pools], by_class: FxHashMap::default() }
+impl RunTimes {
+    pub fn new(pools: usize, window: f64) -> RunTimes {
+        RunTimes { window, by_pool: vec![FxHashMap::default(); pools], by_class: FxHashMap::default() }
     }
 
-    pub fn finished(&mut self, pool: usize, class: ClassId, seconds: f64) {
+    pub fn record_run(&mut self, pool: usize, class: ClassId, seconds: f64) {
         let window = self.window;
         let fold = |slot: &mut (f64, f64)| {
             slot.0 = (slot.0 + 1.0).min(window);
@@ -30,7 +30,7 @@
     }
 
     /// Mean run time of the class in this pool, else anywhere, else the job's own estimate.
-    pub fn run_s(&self, pool: usize, class: ClassId, estimate: f64) -> f64 {
+    pub fn expected_run_s(&self, pool: usize, class: ClassId, estimate: f64) -> f64 {
         let pool = self.by_pool.get(pool).and_then(|p| p.get(&class));
         let mean = pool.or_else(|| self.by_class.get(&class)).map(|(_, mean)| *mean);
         let s = mean.unwrap_or(estimate);
--- a/crates/core/src/state/sizes.rs
+++ b/crates/core/src/state/sizes.rs
@@ -10,14 +10,14 @@
 const PART: usize = 10;
 
 #[derive(Debug, Default)]
-pub struct Sizes {
+pub struct JobSizes {
     last: BTreeMap<ClassId, VecDeque<u32>>,
     /// From which number of tasks on a job is among the largest.
     bounds: BTreeMap<ClassId, u32>,
 }
 
-impl Sizes {
-    pub fn add(&mut self, class: ClassId, tasks: u32) {
+impl JobSizes {
+    pub fn add_job(&mut self, class: ClassId, tasks: u32) {
         let last = self.last.entry(class).or_default();
         last.push_back(tasks);
         if last.len() > LAST {
@@ -41,14 +41,14 @@
 
     #[test]
     fn the_largest_tenth_of_the_last_jobs() {
-        let mut s = Sizes::default();
+        let mut s = JobSizes::default();
         let (a, b) = (ClassId::from(0), ClassId::from(1));
         assert!(!s.is_large(a, 1000), "nothing is known of it");
-        (1..=100).for_each(|n| s.add(a, n));
-        (1..=30).for_each(|_| s.add(b, 6));
+        (1..=100).for_each(|n| s.add_job(a, n));
+        (1..=30).for_each(|_| s.add_job(b, 6));
         assert_eq!((s.is_large(a, 90), s.is_large(a, 91), s.is_large(b, 6)), (false, true, false));
         // What was long ago counts no more.
-        (0..200).for_each(|_| s.add(a, 3));
+        (0..200).for_each(|_| s.add_job(a, 3));
         assert!(s.is_large(a, 4));
     }
 }
--- a/crates/core/src/state/table.rs
+++ b/crates/core/src/state/table.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// What is kept in a table under its own name.
-pub trait Row {
+pub trait HasName {
     fn name(&self) -> Arc<str>;
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-impl<I: Copy + Ord, T: Row> Table<I, T> {
+impl<I: Copy + Ord, T: HasName> Table<I, T> {
     pub fn insert(&mut self, id: I, row: T) {
         self.ids.insert(row.name(), id);
         self.rows.insert(id, row);
@@ -38,11 +38,11 @@
 
 impl<I: Copy + Ord, T> Table<I, T> {
     /// The index of the row with this name.
-    pub fn id(&self, name: &str) -> Option<I> {
+    pub fn id_of(&self, name: &str) -> Option<I> {
         self.ids.get(name).copied()
     }
 
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains_name(&self, name: &str) -> bool {
         self.ids.contains_key(name)
     }
 
@@ -102,7 +102,7 @@
 mod tests {
     use super::*;
 
-    impl Row for &'static str {
+    impl HasName for &'static str {
         fn name(&self) -> Arc<str> {
             (*self).into()
         }
@@ -113,9 +113,9 @@
         let mut t: Table<u32, &'static str> = Table::default();
         t.insert(3, "c");
         t.insert(1, "a");
-        assert_eq!((t.id("c"), t.id("a"), t.id("b")), (Some(3), Some(1), None));
+        assert_eq!((t.id_of("c"), t.id_of("a"), t.id_of("b")), (Some(3), Some(1), None));
         assert_eq!(t.iter().map(|(i, _)| *i).collect::<Vec<_>>(), [1, 3], "in order of index");
         assert_eq!((t.remove(&3), t.remove(&3)), (Some("c"), None));
-        assert!(!t.has("c") && t.get(&3).is_none() && t[&1] == "a" && t.len() == 1);
+        assert!(!t.contains_name("c") && t.get(&3).is_none() && t[&1] == "a" && t.len() == 1);
     }
 }
--- a/crates/core/src/state/tasks.rs
+++ b/crates/core/src/state/tasks.rs
@@ -54,7 +54,7 @@
     }
 
     /// Those of the `n` numbers from `from`, in order.
-    pub fn within(&self, from: u32, n: u32) -> impl Iterator<Item = u32> + '_ {
+    pub fn range(&self, from: u32, n: u32) -> impl Iterator<Item = u32> + '_ {
         self.0.range(from..from.saturating_add(n))
     }
 }
@@ -89,7 +89,7 @@
             for n in [0, 1, 7, tasks] {
                 assert!(set.first(n).iter().eq(plain.iter().take(n as usize)));
                 let from = rng.random_range(0..tasks);
-                assert!(set.within(from, n).eq(plain.range(from..from + n).copied()), "{from} {n}");
+                assert!(set.range(from, n).eq(plain.range(from..from + n).copied()), "{from} {n}");
             }
             set.clear();
             assert!(set.is_empty());
--- a/crates/core/src/state/teams.rs
+++ b/crates/core/src/state/teams.rs
@@ -1,6 +1,6 @@
 //! What teams use: every task that may be on a machine counts (rule `quota`).
 
-use crate::state::job::Spec;
+use crate::state::job::JobSpec;
 use crate::state::names::{JobId, MachineId, TeamId};
 use copperhaven_fairness::TeamClass;
 use copperhaven_wire::jobs::{Priority, JobKind};
@@ -9,37 +9,37 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Usage {
     pub cpus: f64,
-    pub cards: f64,
+    pub gpus: f64,
 }
 
 impl Usage {
-    pub(crate) fn add(&mut self, spec: &Spec, tasks: f64) {
+    pub(crate) fn add(&mut self, spec: &JobSpec, tasks: f64) {
         self.cpus += spec.cpus * tasks;
-        self.cards += spec.cards * tasks;
+        self.gpus += spec.gpus * tasks;
     }
 
-    pub(crate) fn sub(&mut self, spec: &Spec, tasks: f64) {
+    pub(crate) fn sub(&mut self, spec: &JobSpec, tasks: f64) {
         self.cpus = (self.cpus - spec.cpus * tasks).max(0.0);
-        self.cards = (self.cards - spec.cards * tasks).max(0.0);
+        self.gpus = (self.gpus - spec.gpus * tasks).max(0.0);
     }
 }
 
 /// A team's usage by precedence, tasks of gangs apart: what may be stopped for whom.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Split {
-    pub single: [Usage; 4],
+pub struct UsageByPriority {
+    pub non_gang: [Usage; 4],
     pub gang: [Usage; 4],
 }
 
-impl Split {
-    fn of(&mut self, spec: &Spec) -> &mut Usage {
-        let side = if spec.shape == JobKind::Gang { &mut self.gang } else { &mut self.single };
+impl UsageByPriority {
+    fn of(&mut self, spec: &JobSpec) -> &mut Usage {
+        let side = if spec.shape == JobKind::Gang { &mut self.gang } else { &mut self.non_gang };
         &mut side[spec.precedence as usize]
     }
 
-    pub fn at(&self, precedence: usize) -> Usage {
-        let (s, g) = (self.single[precedence], self.gang[precedence]);
-        Usage { cpus: s.cpus + g.cpus, cards: s.cards + g.cards }
+    pub fn total_at(&self, precedence: usize) -> Usage {
+        let (s, g) = (self.non_gang[precedence], self.gang[precedence]);
+        Usage { cpus: s.cpus + g.cpus, gpus: s.gpus + g.gpus }
     }
 }
 
@@ -47,11 +47,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Stoppable {
     pub lost_s: f64,
-    pub mid: MachineId,
+    pub machine_id: MachineId,
     pub id: JobId,
     pub task: u32,
     pub attempt: u64,
-    pub uses: Usage,
+    pub usage: Usage,
 }
 
 /// Those of one class and priority of a team, within its guarantee or beyond, the dearest first, and what they use
@@ -62,7 +62,7 @@
     pub precedence: Priority,
     pub guaranteed: bool,
     pub tasks: Vec<Stoppable>,
-    pub uses: Usage,
+    pub usage: Usage,
 }
 
 impl StoppableGroup {
@@ -70,7 +70,7 @@
     pub fn add(
         groups: &mut Vec<StoppableGroup>,
         (pair, guaranteed): (TeamClass, bool),
-        spec: &Spec,
+        spec: &JobSpec,
         (mid, id, task, attempt): (MachineId, JobId, u32, u64),
         lost_s: f64,
     ) {
@@ -79,39 +79,39 @@
         let same = |g: &StoppableGroup| (g.pair, g.precedence, g.guaranteed) == key;
         let at = groups.iter().position(same).unwrap_or_else(|| {
             let (tasks, uses) = (vec![], Usage::default());
-            groups.push(StoppableGroup { pair, precedence, guaranteed, tasks, uses });
+            groups.push(StoppableGroup { pair, precedence, guaranteed, tasks, usage: uses });
             groups.len() - 1
         });
-        let uses = Usage { cpus: spec.cpus, cards: spec.cards };
-        groups[at].uses.add(spec, 1.0);
-        groups[at].tasks.push(Stoppable { lost_s, mid, id, task, attempt, uses });
+        let uses = Usage { cpus: spec.cpus, gpus: spec.gpus };
+        groups[at].usage.add(spec, 1.0);
+        groups[at].tasks.push(Stoppable { lost_s, machine_id: mid, id, task, attempt, usage: uses });
     }
 
     /// Leaves the `n` dearest.
-    pub fn keep(&mut self, n: usize) {
+    pub fn truncate(&mut self, n: usize) {
         for s in self.tasks.drain(n..) {
-            self.uses.cpus = (self.uses.cpus - s.uses.cpus).max(0.0);
-            self.uses.cards = (self.uses.cards - s.uses.cards).max(0.0);
+            self.usage.cpus = (self.usage.cpus - s.usage.cpus).max(0.0);
+            self.usage.gpus = (self.usage.gpus - s.usage.gpus).max(0.0);
         }
     }
 }
 
 /// The usage of every team, by team.
 #[derive(Debug)]
-pub struct Teams {
+pub struct TeamUsage {
     usage: Vec<Usage>,
-    split: Vec<Split>,
+    split: Vec<UsageByPriority>,
     /// What of it belongs to tasks that were told to stop.
     stopping: Vec<Usage>,
     /// In one placement pass: what of a team's limit is kept for a job served earlier.
     held: Vec<Usage>,
 }
 
-impl Teams {
-    pub fn new(teams: usize) -> Teams {
-        Teams {
+impl TeamUsage {
+    pub fn new(teams: usize) -> TeamUsage {
+        TeamUsage {
             usage: vec![Usage::default(); teams],
-            split: vec![Split::default(); teams],
+            split: vec![UsageByPriority::default(); teams],
             stopping: vec![Usage::default(); teams],
             held: vec![Usage::default(); teams],
         }
@@ -126,14 +126,14 @@
     }
 
     pub fn usage(&self, team: TeamId) -> Usage {
-        self.usage[team.ix()]
+        self.usage[team.index()]
     }
 
-    pub fn split(&self, team: TeamId) -> &Split {
-        &self.split[team.ix()]
+    pub fn usage_by_priority(&self, team: TeamId) -> &UsageByPriority {
+        &self.split[team.index()]
     }
 
-    pub fn splits(&self) -> impl Iterator<Item = &Split> {
+    pub fn usages_by_priority(&self) -> impl Iterator<Item = &UsageByPriority> {
         self.split.iter()
     }
 
@@ -142,38 +142,38 @@
     }
 
     pub fn stopping(&self, team: TeamId) -> Usage {
-        self.stopping[team.ix()]
+        self.stopping[team.index()]
     }
 
     pub fn held(&self, team: TeamId) -> Usage {
-        self.held[team.ix()]
+        self.held[team.index()]
     }
 
     /// One more task of this shape may be on a machine.
-    pub fn add(&mut self, spec: &Spec) {
-        self.usage[spec.team.ix()].add(spec, 1.0);
-        self.split[spec.team.ix()].of(spec).add(spec, 1.0);
+    pub fn add(&mut self, spec: &JobSpec) {
+        self.usage[spec.team.index()].add(spec, 1.0);
+        self.split[spec.team.index()].of(spec).add(spec, 1.0);
     }
 
     /// One less: it is proven to be nowhere.
-    pub fn sub(&mut self, spec: &Spec) {
-        self.usage[spec.team.ix()].sub(spec, 1.0);
-        self.split[spec.team.ix()].of(spec).sub(spec, 1.0);
+    pub fn sub(&mut self, spec: &JobSpec) {
+        self.usage[spec.team.index()].sub(spec, 1.0);
+        self.split[spec.team.index()].of(spec).sub(spec, 1.0);
     }
 
     /// A task that counts was told to stop.
-    pub fn stop(&mut self, spec: &Spec) {
-        self.stopping[spec.team.ix()].add(spec, 1.0);
+    pub fn add_stopping(&mut self, spec: &JobSpec) {
+        self.stopping[spec.team.index()].add(spec, 1.0);
     }
 
     /// One that was told to stop counts no more.
-    pub fn stopped(&mut self, spec: &Spec) {
-        self.stopping[spec.team.ix()].sub(spec, 1.0);
+    pub fn sub_stopping(&mut self, spec: &JobSpec) {
+        self.stopping[spec.team.index()].sub(spec, 1.0);
     }
 
     /// What `tasks` of this shape use counts under another priority from here on.
-    pub fn set_precedence(&mut self, spec: &mut Spec, tasks: f64, precedence: Priority) {
-        let split = &mut self.split[spec.team.ix()];
+    pub fn set_precedence(&mut self, spec: &mut JobSpec, tasks: f64, precedence: Priority) {
+        let split = &mut self.split[spec.team.index()];
         split.of(spec).sub(spec, tasks);
         spec.precedence = precedence;
         split.of(spec).add(spec, tasks);
@@ -187,8 +187,8 @@
 
     /// Keeps so much of the team's limit for a job that those served after it don't take what
     /// gets free.
-    pub fn hold(&mut self, spec: &Spec, tasks: f64) {
-        self.held[spec.team.ix()].add(spec, tasks);
+    pub fn hold(&mut self, spec: &JobSpec, tasks: f64) {
+        self.held[spec.team.index()].add(spec, tasks);
     }
 }
 
@@ -201,18 +201,18 @@
     fn usage_comes_back_however_priority_changes_meanwhile() {
         // (shape, tasks added, priority changed to, tasks taken off)
         for (shape, n) in [(JobKind::Array, 3), (JobKind::Gang, 2), (JobKind::Service, 1)] {
-            let mut teams = Teams::new(2);
+            let mut teams = TeamUsage::new(2);
             let mut s = spec("wk-1", |_| ());
             s.shape = shape;
             (0..n).for_each(|_| teams.add(&s));
             assert_eq!(teams.usage(s.team).cpus, s.cpus * f64::from(n));
-            assert_eq!(teams.split(s.team).at(s.precedence as usize).cpus, s.cpus * f64::from(n));
+            assert_eq!(teams.usage_by_priority(s.team).total_at(s.precedence as usize).cpus, s.cpus * f64::from(n));
             let was = s.precedence;
             teams.set_precedence(&mut s, f64::from(n), Priority::High);
-            assert_eq!(teams.split(s.team).at(was as usize).cpus, 0.0);
+            assert_eq!(teams.usage_by_priority(s.team).total_at(was as usize).cpus, 0.0);
             (0..n).for_each(|_| teams.sub(&s));
             assert_eq!(teams.usage(s.team).cpus, 0.0);
-            assert!((0..4).all(|p| teams.split(s.team).at(p).cpus == 0.0));
+            assert!((0..4).all(|p| teams.usage_by_priority(s.team).total_at(p).cpus == 0.0));
             // One too many takes nothing from others.
             teams.sub(&s);
             assert_eq!(teams.usage(s.team).cpus, 0.0);
--- a/crates/core/src/sweep.rs
+++ b/crates/core/src/sweep.rs
@@ -2,29 +2,29 @@
 //! done. What is in none would never run and nobody would notice. A sweep looks through all jobs now and then and puts
 //! back what was lost; what it finds is a defect, and is named.
 
-use crate::state::cell::{Cell, Swept};
+use crate::state::cell::{LeaderState, SweepCounts};
 use crate::state::names::JobId;
 
-impl Cell {
+impl LeaderState {
     /// Looks through all open jobs.
-    pub fn sweep(&mut self) -> Swept {
-        let mut swept = Swept::default();
+    pub fn sweep(&mut self) -> SweepCounts {
+        let mut swept = SweepCounts::default();
         let ready: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.open() && job.awaits.is_empty())
+            .filter(|(_, job)| job.is_open() && job.pending_dependencies.is_empty())
             .map(|(id, _)| *id)
             .collect();
         for id in ready {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let turn = (job.turn_at, id);
-            let twice = job.onto.keys().filter(|t| job.done.contains(**t)).count();
+            let turn = (job.eligible_at_ms, id);
+            let twice = job.placement_counts.keys().filter(|t| job.done.contains(**t)).count();
             let known =
-                job.waiting.len() as usize + job.done.len() as usize + job.onto.len() - twice;
+                job.waiting.len() as usize + job.done.len() as usize + job.placement_counts.len() - twice;
             let mut lost = vec![];
             if known < job.spec.tasks as usize {
                 let nowhere = |t: &u32| {
-                    !job.waiting.contains(*t) && !job.done.contains(*t) && !job.onto.contains_key(t)
+                    !job.waiting.contains(*t) && !job.done.contains(*t) && !job.placement_counts.contains_key(t)
                 };
                 lost = (0..job.spec.tasks).filter(nowhere).collect();
             }
@@ -42,12 +42,12 @@
             if self.queue.insert(turn) {
                 tracing::error!("{uid} was in no queue and waits again: report this with the log");
                 swept.jobs += 1;
-                self.open_service(id);
+                self.open_fairness(id);
             }
         }
-        self.stir |= swept != Swept::default();
-        self.swept.jobs += swept.jobs;
-        self.swept.tasks += swept.tasks;
+        self.placement_pending |= swept != SweepCounts::default();
+        self.sweep_counts.jobs += swept.jobs;
+        self.sweep_counts.tasks += swept.tasks;
         swept
     }
 
@@ -55,7 +55,7 @@
     /// about to be recorded or over.
     pub fn nowhere<'a>(&self, uids: impl Iterator<Item = &'a str>) -> Vec<String> {
         let unknown = |uid: &&str| {
-            !self.jobs.has(uid) && !self.finals.has(uid) && self.aside.job(uid).is_none()
+            !self.jobs.contains_name(uid) && !self.final_records.contains(uid) && self.unreadable.job_reason(uid).is_none()
         };
         uids.filter(unknown).map(ToString::to_string).collect()
     }
@@ -68,9 +68,9 @@
 
     #[test]
     fn what_was_dropped_from_memory_is_put_back_and_runs() {
-        type Drop = fn(&mut Cell, JobId);
-        let rows: [(&str, Drop, Swept); 4] = [
-            ("nothing", |_, _| {}, Swept::default()),
+        type Drop = fn(&mut LeaderState, JobId);
+        let rows: [(&str, Drop, SweepCounts); 4] = [
+            ("nothing", |_, _| {}, SweepCounts::default()),
             (
                 "two tasks",
                 |c, id| {
@@ -78,28 +78,28 @@
                     job.waiting.remove(0);
                     job.waiting.remove(2);
                 },
-                Swept { jobs: 0, tasks: 2 },
+                SweepCounts { jobs: 0, tasks: 2 },
             ),
             (
                 "its place in the queue",
                 |c, id| {
-                    let turn = (c.jobs[&id].turn_at, id);
+                    let turn = (c.jobs[&id].eligible_at_ms, id);
                     c.queue.remove(&turn);
-                    c.service.remove_job(crate::state::served::key(id));
+                    c.fairness_ledger.remove_job(crate::state::served::fairness_job(id));
                 },
-                Swept { jobs: 1, tasks: 0 },
+                SweepCounts { jobs: 1, tasks: 0 },
             ),
             (
                 "all of it, with one task done",
                 |c, id| {
-                    let turn = (c.jobs[&id].turn_at, id);
+                    let turn = (c.jobs[&id].eligible_at_ms, id);
                     c.queue.remove(&turn);
-                    c.service.remove_job(crate::state::served::key(id));
+                    c.fairness_ledger.remove_job(crate::state::served::fairness_job(id));
                     let job = c.jobs.get_mut(&id).expect("there");
                     job.done.insert(1);
                     job.waiting.clear();
                 },
-                Swept { jobs: 1, tasks: 2 },
+                SweepCounts { jobs: 1, tasks: 2 },
             ),
         ];
         for (what, drop, expected) in rows {
@@ -109,14 +109,14 @@
             commit(&mut c);
             drop(&mut c, id);
             assert_eq!(c.sweep(), expected, "{what}");
-            assert_eq!(c.sweep(), Swept::default(), "{what}: once");
-            c.check();
+            assert_eq!(c.sweep(), SweepCounts::default(), "{what}: once");
+            c.check_invariants();
             let orders = exchange(&mut c, &report(1, 1, TERM, &[]), T0);
             let done = c.jobs[&id].done.len() as usize;
             assert_eq!(orders.len() + done, 4, "{what}");
             // What is cancelled, done or waits for others is in no queue and stays out of it.
             c.cancel(other, T0);
-            assert_eq!(c.sweep(), Swept::default(), "{what}: cancelled");
+            assert_eq!(c.sweep(), SweepCounts::default(), "{what}: cancelled");
         }
     }
 
@@ -124,8 +124,8 @@
     fn a_record_of_a_job_that_is_in_no_place_is_found() {
         let mut c = cell();
         add_job(&mut c, "wk-1", |_| ());
-        c.aside.set_job("wk-2", "its record can't be used".into());
-        c.finals.remember("wk-3".into(), crate::records::FinalRecord { done: true, tasks: 1 });
+        c.unreadable.add_job("wk-2", "its record can't be used".into());
+        c.final_records.insert("wk-3".into(), crate::records::FinalRecord { done: true, tasks: 1 });
         assert_eq!(c.nowhere(["wk-1", "wk-2", "wk-3", "wk-4"].into_iter()), ["wk-4"]);
     }
 }
--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -2,12 +2,12 @@
 
 use crate::admission::shape::admit_shape;
 use crate::records::*;
-use crate::state::aside::MayHold;
-use crate::state::cell::Cell;
-use crate::state::job::{CHUNK, FAR_MS, Wait};
-use crate::state::ledger::Key;
-use crate::state::machine::{Direct, Entry};
-use crate::state::packs::{MOST as PACKED, PackId};
+use crate::state::aside::PossibleTasks;
+use crate::state::cell::LeaderState;
+use crate::state::job::{DONE_CHUNK_TASKS, MAX_TIME_MS, WaitReason};
+use crate::state::ledger::RecordKey;
+use crate::state::machine::{DirectRequest, Assignment};
+use crate::state::packs::{MAX_PACK_MACHINES as PACKED, PackId};
 use crate::state::served;
 use copperhaven_recovery::{Machine, Zone};
 use copperhaven_wire::jobs::validate;
@@ -34,24 +34,24 @@
 
 /// Puts together what an earlier leader has left. `now` is this leader's steady clock, `wall_ms` the
 /// time of day, both in milliseconds. What can't be read or used is set aside (`state::aside`).
-pub fn rebuild(cell: &mut Cell, read: Records, now: u64, wall_ms: u64) {
+pub fn rebuild(cell: &mut LeaderState, read: Records, now: u64, wall_ms: u64) {
     let Records { jobs, done, machines, packs, rentals, links, service, packed, bad } = read;
     set_aside(cell, bad);
-    cell.resume_service(service, now);
+    cell.restore_fairness(service, now);
     let links = read_links(cell, links);
     read_jobs(cell, jobs, links, (now, wall_ms));
     read_done(cell, done);
     read_packs(cell, packs, now);
     for (path, r, stamp) in machines {
-        cell.ledger.stamp(path.clone(), Some(stamp));
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
         read_machine(cell, (&path, path.trim_start_matches("m/")), r, now);
     }
     for (path, r, stamp) in rentals {
-        cell.ledger.stamp(path.clone(), Some(stamp));
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
         let what = cell.names.types.get(&r.berth).zip(cell.names.zones.get(&r.yard));
         if let Some((kind, zone)) = what {
             let name = path.trim_start_matches("r/");
-            cell.fleet.inherit(name, (kind, zone, r.spot), r.number.clamp(1, 50));
+            cell.fleet.restore_rental(name, (kind, zone, r.spot), r.number.clamp(1, 50));
         }
     }
     let ids: Vec<_> = cell.jobs.keys().copied().collect();
@@ -59,22 +59,22 @@
     let mut load = cell.pool_load(now);
     for id in ids {
         let Some(job) = cell.jobs.get(&id) else { continue };
-        if job.cancelled() {
+        if job.is_cancelled() {
             cell.stop_all(id, now, 0.0);
-        } else if job.awaits.is_empty()
+        } else if job.pending_dependencies.is_empty()
             && let Ok(routed) = cell.admit_on(&load, &job.spec, now)
         {
             cell.add_routed(&mut load, &job.spec, &routed);
             if let Some(job) = cell.jobs.get_mut(&id) {
-                job.routed = routed;
+                job.routed_by_pool = routed;
             }
         }
-        cell.settle(id);
+        cell.finalize_if_over(id);
     }
     cell.follow(now);
     let machines = cell.machines.iter().map(|(mid, m)| (Machine(mid.0), Zone(m.zone.0)));
     cell.recovery.records_loaded(machines, now);
-    if cell.hurry {
+    if cell.request_early_reports {
         tell_free_ones_first(cell);
     }
     if packed {
@@ -86,9 +86,9 @@
 
 /// Nothing starts on a machine before it has shown the term: where starts can't wait for its next report, those with
 /// room are told first.
-fn tell_free_ones_first(cell: &mut Cell) {
-    let Cell { direct, machines, .. } = cell;
-    let free = |d: &Direct| {
+fn tell_free_ones_first(cell: &mut LeaderState) {
+    let LeaderState { direct_requests: direct, machines, .. } = cell;
+    let free = |d: &DirectRequest| {
         let m = d.machine.and_then(|mid| machines.get(&mid));
         m.map_or(0, |m| ((m.cpus - m.used_cpus).max(0.0) * 1000.0) as u64)
     };
@@ -99,42 +99,42 @@
 /// machine may hold tasks of any job; finished ranges are worked out once more and recorded beside; a
 /// job whose links are missing is set aside itself; a rental is never asked for again, and what it
 /// may have rented shows in reports and lists.
-fn set_aside(cell: &mut Cell, bad: Vec<(String, u64)>) {
+fn set_aside(cell: &mut LeaderState, bad: Vec<(String, u64)>) {
     for (path, stamp) in bad {
         tracing::error!("the record {path} can't be read: it is left as it is");
-        cell.ledger.stamp(path.clone(), Some(stamp));
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
         match path.split_once('/') {
             Some(("j", uid)) => {
-                cell.aside.set_job(uid, format!("its record {path} can't be read"));
+                cell.unreadable.add_job(uid, format!("its record {path} can't be read"));
             }
-            Some(("m", name)) => cell.aside.set_machine(name, MayHold::Anything),
+            Some(("m", name)) => cell.unreadable.add_machine(name, PossibleTasks::Any),
             // Of how many machines, and which, is not known: as many as a pack has at most.
             Some(("p", n)) => {
                 for i in 0..PACKED {
-                    cell.aside.set_machine(&format!("p/{n}#{i}"), MayHold::Anything);
+                    cell.unreadable.add_machine(&format!("p/{n}#{i}"), PossibleTasks::Any);
                 }
                 if let Ok(n) = n.parse() {
-                    cell.packs.begin(PackId(n), false);
+                    cell.packs.register(PackId(n), false);
                 }
             }
             _ => {}
         }
         if !path.starts_with("m/") {
-            cell.aside.seal(&path);
+            cell.unreadable.write_protect(&path);
         }
     }
 }
 
 /// How long ago a time of day was, in milliseconds; ten years at most.
 fn age_ms(at: u64, wall_ms: u64) -> i64 {
-    i64::try_from(wall_ms.saturating_sub(at)).map_or(FAR_MS, |age| age.min(FAR_MS))
+    i64::try_from(wall_ms.saturating_sub(at)).map_or(MAX_TIME_MS, |age| age.min(MAX_TIME_MS))
 }
 
 /// The parts of long lists of what jobs wait for, by path.
-fn read_links(cell: &mut Cell, links: Rows<LinksRecord>) -> BTreeMap<String, Vec<String>> {
+fn read_links(cell: &mut LeaderState, links: Rows<LinksRecord>) -> BTreeMap<String, Vec<String>> {
     let mut out = BTreeMap::new();
     for (path, record, stamp) in links {
-        cell.ledger.stamp(path.clone(), Some(stamp));
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
         out.insert(path, record.on);
     }
     out
@@ -142,14 +142,14 @@
 
 /// Open jobs, and what they wait for.
 fn read_jobs(
-    cell: &mut Cell,
+    cell: &mut LeaderState,
     jobs: Rows<JobRecord>,
     mut links: BTreeMap<String, Vec<String>>,
     (now, wall_ms): (u64, u64),
 ) {
     let mut parked = vec![];
     for (path, mut record, stamp) in jobs {
-        cell.ledger.stamp(path.clone(), Some(stamp));
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
         let waits = record.waits.take();
         if let Some(waits) = &waits {
             record.job.machine_types.clone_from(&waits.berths);
@@ -174,84 +174,84 @@
             Ok(spec) => spec,
             Err(e) => {
                 tracing::error!("the record {path} can't be used and is left as it is: {e}");
-                cell.aside.set_job(uid, format!("its record can't be used: {e}"));
-                cell.aside.seal(&path);
+                cell.unreadable.add_job(uid, format!("its record can't be used: {e}"));
+                cell.unreadable.write_protect(&path);
                 continue;
             }
         };
         // A time that lies far off is taken for one that can be reckoned with.
-        let at = record.at.min(wall_ms + FAR_MS as u64);
+        let at = record.at.min(wall_ms + MAX_TIME_MS as u64);
         let born = now as i64 - age_ms(at, wall_ms);
         let id = cell.insert_job(spec, record.job, at, born);
         if let Some(job) = cell.jobs.get_mut(&id) {
-            job.wait = Wait::Nothing;
+            job.wait_reason = WaitReason::Nothing;
             if record.cancelled {
                 job.cancel_ver = Some(0);
                 job.waiting.clear();
                 cell.queue.remove(&(at, id));
-                cell.service.remove_job(served::key(id));
+                cell.fairness_ledger.remove_job(served::fairness_job(id));
             } else if let Some(since) = record.since {
                 // It has waited for others.
-                let since = since.min(wall_ms + FAR_MS as u64);
-                job.since = now as i64 - age_ms(since, wall_ms);
-                job.turn_at = since;
+                let since = since.min(wall_ms + MAX_TIME_MS as u64);
+                job.eligible_mono_ms = now as i64 - age_ms(since, wall_ms);
+                job.eligible_at_ms = since;
                 cell.queue.remove(&(at, id));
                 cell.queue.insert((since, id));
-                cell.open_service(id);
+                cell.open_fairness(id);
             }
         }
-        cell.ledger.mark_saved(Key::Job(id));
+        cell.write_queue.mark_saved(RecordKey::Job(id));
         if let Some(waits) = waits.filter(|_| !record.cancelled) {
             parked.push((id, waits));
         }
     }
     for (id, waits) in parked {
         let Some(job) = cell.jobs.get_mut(&id) else { continue };
-        job.parts = waits.parts;
+        job.dependency_parts = waits.parts;
         let paths = (0..waits.parts).map(|part| format!("a/{}/{part}", job.spec.uid));
         let more = paths.filter_map(|path| links.remove(&path)).flatten();
         let on = waits.on.into_iter().chain(more).map(Arc::from).collect();
         cell.park(id, on, now);
     }
-    for uid in cell.aside.job_ids() {
+    for uid in cell.unreadable.job_ids() {
         cell.doubt(&uid);
     }
     drop_unused_links(cell);
 }
 
-fn drop_unused_links(cell: &mut Cell) {
+fn drop_unused_links(cell: &mut LeaderState) {
     // Left over from submissions that were never accepted, or of jobs that wait no more.
     let unused = |path: &&String| {
         let uid = path.strip_prefix("a/").and_then(|p| p.split('/').next());
         uid.is_some_and(|uid| {
-            let known = cell.aside.job(uid).is_some() || cell.aside.is_sealed(path);
-            !known && cell.job(uid).is_none_or(|(_, j)| j.parts == 0)
+            let known = cell.unreadable.job_reason(uid).is_some() || cell.unreadable.is_write_protected(path);
+            !known && cell.job(uid).is_none_or(|(_, j)| j.dependency_parts == 0)
         })
     };
-    let unused: Vec<String> = cell.ledger.paths().filter(unused).cloned().collect();
+    let unused: Vec<String> = cell.write_queue.paths().filter(unused).cloned().collect();
     for path in unused {
-        cell.touch(Key::Drop(path));
+        cell.mark_dirty(RecordKey::Delete(path));
     }
 }
 
-fn read_done(cell: &mut Cell, done: Rows<DoneRecord>) {
+fn read_done(cell: &mut LeaderState, done: Rows<DoneRecord>) {
     for (path, record, stamp) in done {
         let mut parts = path.split('/').skip(1);
         let uid = parts.next().unwrap_or_default();
         let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
-        cell.ledger.stamp(path.clone(), Some(stamp));
-        if cell.aside.job(uid).is_some() {
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
+        if cell.unreadable.job_reason(uid).is_some() {
             continue;
         }
-        let (Some(id), Some(chunk)) = (cell.jobs.id(uid), chunk) else {
+        let (Some(id), Some(chunk)) = (cell.jobs.id_of(uid), chunk) else {
             // Left over from a job that is final.
-            cell.touch(Key::Drop(path));
+            cell.mark_dirty(RecordKey::Delete(path));
             continue;
         };
         if let Some(job) = cell.jobs.get_mut(&id) {
-            let from = chunk.saturating_mul(CHUNK);
+            let from = chunk.saturating_mul(DONE_CHUNK_TASKS);
             for task in from_ranges(&record.r) {
-                if task >= from && task - from < CHUNK && task < job.spec.tasks {
+                if task >= from && task - from < DONE_CHUNK_TASKS && task < job.spec.tasks {
                     job.done.insert(task);
                     job.waiting.remove(task);
                 }
@@ -261,11 +261,11 @@
 }
 
 /// Machines whose lists stand together in one record.
-fn read_packs(cell: &mut Cell, packs: Rows<PackRecord>, now: u64) {
+fn read_packs(cell: &mut LeaderState, packs: Rows<PackRecord>, now: u64) {
     // What all lists of a machine say together is safe with the next write of it.
-    let ver = cell.ledger.version() + 1;
+    let ver = cell.write_queue.latest_version() + 1;
     for (path, record, stamp) in packs {
-        cell.ledger.stamp(path.clone(), Some(stamp));
+        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
         let number = path.trim_start_matches("p/").parse().ok().map(PackId);
         // A pack is written anew as a whole. One that lists what can't be used is left as it is, and those in it that
         // can be used go elsewhere with their next change. One that another lists too is its shadow there, or here.
@@ -278,27 +278,27 @@
             tracing::error!(
                 "the record {path} can't be used as it is: it counts, and is left as it is"
             );
-            cell.aside.seal(&path);
+            cell.unreadable.write_protect(&path);
         }
         if let Some(number) = number {
-            cell.packs.begin(number, pack.is_some());
+            cell.packs.register(number, pack.is_some());
         }
         for (name, r) in record.packed {
             read_machine(cell, (&path, &name), r, now);
-            if let (Some(pack), Some(mid)) = (pack, cell.machines.id(&name)) {
-                cell.packs.inherit(mid, pack, ver);
+            if let (Some(pack), Some(mid)) = (pack, cell.machines.id_of(&name)) {
+                cell.packs.restore(mid, pack, ver);
             }
         }
     }
 }
 
 /// A machine and the tasks that may be on it: a superset. Listed twice, it holds what either lists.
-fn read_machine(cell: &mut Cell, (path, name): (&str, &str), r: MachineRecord, now: u64) {
-    let known = cell.machines.id(name);
+fn read_machine(cell: &mut LeaderState, (path, name): (&str, &str), r: MachineRecord, now: u64) {
+    let known = cell.machines.id_of(name);
     let (addr, shift) = (r.addr.clone(), r.shift);
     if known.is_none() {
         // Fences the old leader: a worker that has seen this term drops its responses.
-        cell.direct.push(Direct { machine: None, addr, shift, orders: vec![] });
+        cell.direct_requests.push(DirectRequest { machine: None, addr, session: shift, orders: vec![] });
     }
     let (Some(kind), Some(zone)) = (cell.names.types.get(&r.berth), cell.names.zones.get(&r.yard))
     else {
@@ -306,7 +306,7 @@
         tracing::error!("the record {path} can't be used: type `{berth}`, zone `{yard}`");
         if !r.on.is_empty() {
             let jobs = r.on.into_iter().map(|on| on.j).collect();
-            cell.aside.set_machine(name, MayHold::Jobs(jobs));
+            cell.unreadable.add_machine(name, PossibleTasks::Jobs(jobs));
         }
         return;
     };
@@ -314,22 +314,22 @@
         Some(mid) => mid,
         None => {
             let mid = cell.add_machine(name, &r.addr, kind, zone, r.spot, now);
-            if let Some(direct) = cell.direct.last_mut() {
+            if let Some(direct) = cell.direct_requests.last_mut() {
                 direct.machine = Some(mid);
             }
             mid
         }
     };
     for on in r.on {
-        let Some(id) = cell.jobs.id(on.j.as_str()) else {
+        let Some(id) = cell.jobs.id_of(on.j.as_str()) else {
             // A job that is not open is final: what is done has exited, and a cancelled job only
             // becomes final once none of its tasks can be on a machine. What is set aside may
             // be neither.
-            if cell.aside.job(&on.j).is_some()
+            if cell.unreadable.job_reason(&on.j).is_some()
                 && let Some(m) = cell.machines.get_mut(&mid)
-                && !m.foreign.contains(&on)
+                && !m.unreadable_job_tasks.contains(&on)
             {
-                m.foreign.push(on);
+                m.unreadable_job_tasks.push(on);
             }
             continue;
         };
@@ -338,19 +338,19 @@
             if task >= job.spec.tasks {
                 continue;
             }
-            let before = cell.machines.get(&mid).and_then(|m| m.entries.get(&(id, task)));
+            let before = cell.machines.get(&mid).and_then(|m| m.assignments.get(&(id, task)));
             let attempt = before.map_or(on.t, |e| e.attempt.max(on.t));
-            let mut e = Entry::new(attempt, 0, now);
-            e.inherited = true;
+            let mut e = Assignment::new(attempt, 0, now);
+            e.unconfirmed = true;
             // Done by one record, and listed by another: mostly it has exited since. But an
             // earlier leader that could not read the first has started it again, and so it
             // may be there, and counts, until it is proven not to be.
             if job.done.contains(task) {
-                e.stop = Some((now, 0.0));
+                e.stop_requested = Some((now, 0.0));
             }
             cell.attach(mid, id, task, e);
             if let Some(job) = cell.jobs.get_mut(&id) {
-                job.attempt = job.attempt.max(on.t);
+                job.gang_attempt = job.gang_attempt.max(on.t);
             }
         }
     }
--- a/crates/core/src/takeover/tests.rs
+++ b/crates/core/src/takeover/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::for_tests::TERM;
 use crate::for_tests::*;
-use crate::state::job::Wait;
+use crate::state::job::WaitReason;
 use copperhaven_wire::jobs::{JobBody, JobKind};
 use copperhaven_wire::workers::{Order, Report};
 
@@ -25,10 +25,10 @@
     (format!("m/{name}"), r, 3)
 }
 
-fn taken_over(read: Records) -> Cell {
+fn taken_over(read: Records) -> LeaderState {
     let mut c = cell();
     rebuild(&mut c, read, T0, T0);
-    c.check();
+    c.check_invariants();
     c
 }
 
@@ -76,7 +76,7 @@
         };
         let done = vec![("d/wk-1/0".to_string(), DoneRecord { r: vec![0, 1] }, 4)];
         let mut c = taken_over(Records { jobs, done, bad: list, ..Records::default() });
-        assert!(c.aside.job("wk-1").is_some() && c.aside.job("wk-2").is_none(), "{case}");
+        assert!(c.unreadable.job_reason("wk-1").is_some() && c.unreadable.job_reason("wk-2").is_none(), "{case}");
         assert!(c.show("wk-1").is_none() && c.show("wk-2").is_some(), "{case}");
         let runs = exchange(&mut c, &other(1, &[]), T0 + 100);
         assert_eq!(started(&runs), ["wk-2/0"], "{case}: what it does not touch goes on");
@@ -110,8 +110,8 @@
     let blue = started(&orders).iter().filter(|p| p.starts_with("wk-3/")).count();
     assert_eq!(blue, 1);
     // Its record goes on listing them, whatever is written meanwhile.
-    c.touch(Key::Machine(c.machines.id("n-1").expect("known")));
-    let listing = |c: &mut Cell| {
+    c.mark_dirty(RecordKey::Machine(c.machines.id_of("n-1").expect("known")));
+    let listing = |c: &mut LeaderState| {
         commit(c).into_iter().rev().find_map(|x| match x {
             Change::Put { put, v: Record::Machine(m), .. } if put == "m/n-1" => Some(m.on),
             _ => None,
@@ -138,7 +138,7 @@
 fn a_machine_whose_record_can_t_be_read_may_hold_any_earlier_task() {
     let jobs = || vec![job("wk-1", |b| b.tasks = 2), job("wk-2", |b| b.kind = JobKind::Gang)];
     let read = || Records { jobs: jobs(), bad: bad("m/n-1"), ..Records::default() };
-    let fresh = |c: &mut Cell| {
+    let fresh = |c: &mut LeaderState| {
         add_job(c, "wk-9", |b| b.tasks = 1);
         commit(c);
     };
@@ -149,26 +149,26 @@
     let orders = exchange(&mut c, &other(1, &[]), T0 + 100);
     assert_eq!(started(&orders), ["wk-9/0"]);
     let (id, job) = c.job("wk-1").expect("open");
-    assert_eq!(c.why_waiting(id, job), Wait::Absence);
+    assert_eq!(c.why_waiting(id, job), WaitReason::UnheardMachine);
     // Its first report shows an older term: what may go on is not halted, what is cancelled or
     // unknown is.
-    c.cancel(c.jobs.id("wk-2").expect("open"), T0 + 150);
+    c.cancel(c.jobs.id_of("wk-2").expect("open"), T0 + 150);
     let list = [("wk-1/1", 5, "running"), ("wk-2/0", 6, "running"), ("wk-8/0", 7, "running")];
     let orders = exchange(&mut c, &report(1, 1, 3, &list), T0 + 200);
     assert!(!halted(&orders, "wk-1/1") && halted(&orders, "wk-2/0") && halted(&orders, "wk-8/0"));
-    assert!(c.aside.machine("n-1"), "an older term proves nothing");
+    assert!(c.unreadable.has_machine("n-1"), "an older term proves nothing");
     // The next shows this one: what it lists goes on, all else is free.
     let orders = exchange(&mut c, &report(1, 2, TERM, &list[..1]), T0 + 1200);
-    assert!(!halted(&orders, "wk-1/1") && c.aside.is_empty());
+    assert!(!halted(&orders, "wk-1/1") && c.unreadable.is_empty());
     let (id, job) = c.job("wk-1").expect("open");
     assert_eq!((job.running, job.waiting.len(), c.unknown_usage().cpus), (1, 0, 0.0));
-    assert!(!c.done_saved(id, 1));
-    c.check();
+    assert!(!c.is_done_saved(id, 1));
+    c.check_invariants();
     // Its record is written anew from what it has shown, on the version that could not be read.
     let mut c = taken_over(read());
     c.on_report(&report(1, 1, TERM, &list[..1]), T0 + 100);
     let batch = c.batch(16).expect("something to record");
-    assert!(batch.when.contains(&Cond { path: "m/n-1".into(), stamp: STAMP }));
+    assert!(batch.conditions.contains(&Cond { path: "m/n-1".into(), stamp: STAMP }));
     // Unheard, it holds what was there for holding and lease; then its record says nothing more.
     let mut c = taken_over(read());
     let bound = c.settings.holding_ms() + c.settings.lease_ms();
@@ -177,12 +177,12 @@
     assert!(!written(&commit(&mut c), "m/n-1"));
     c.expire(T0 + bound + 100);
     c.place(T0 + bound + 200);
-    assert!(written(&commit(&mut c), "m/n-1") && c.aside.is_empty());
-    assert_eq!(c.jobs[&c.jobs.id("wk-1").expect("open")].waiting.len(), 0);
+    assert!(written(&commit(&mut c), "m/n-1") && c.unreadable.is_empty());
+    assert_eq!(c.jobs[&c.jobs.id_of("wk-1").expect("open")].waiting.len(), 0);
     // Or until the cloud has confirmed that it is gone.
     let mut c = taken_over(read());
     c.returned(&["n-1".into()]);
-    assert!(c.aside.is_empty() && written(&commit(&mut c), "m/n-1"));
+    assert!(c.unreadable.is_empty() && written(&commit(&mut c), "m/n-1"));
 }
 
 #[test]
@@ -190,7 +190,7 @@
     let jobs = vec![job("wk-1", |_| ()), job("wk-2", |_| ())];
     let machines = vec![machine("n-1", "retired", &[("wk-1", 5, 0)])];
     let mut c = taken_over(Records { jobs, machines, ..Records::default() });
-    assert_eq!(c.direct.len(), 1, "it is sent the new term all the same");
+    assert_eq!(c.direct_requests.len(), 1, "it is sent the new term all the same");
     assert_eq!(started(&exchange(&mut c, &other(1, &[]), T0 + 100)), ["wk-2/0"]);
     let r = Report { machine_type: "retired".into(), ..report(1, 1, TERM, &[("wk-1/0", 5, "running")]) };
     assert!(matches!(c.on_report(&r, T0 + 200), crate::workers::reports::Taken::Malformed(_)));
@@ -207,7 +207,7 @@
         let jobs = vec![job("wk-1", |b| b.tasks = 2)];
         let mut c = taken_over(Records { jobs, bad: bad(path), ..Records::default() });
         assert_eq!(started(&exchange(&mut c, &other(1, &[]), T0)).len(), 2, "{path}");
-        let attempt = c.machines.values().flat_map(|m| m.entries.values()).next().expect("there");
+        let attempt = c.machines.values().flat_map(|m| m.assignments.values()).next().expect("there");
         let attempt = attempt.attempt;
         c.on_report(
             &other(2, &[("wk-1/0", attempt, "ended:done"), ("wk-1/1", attempt, "running")]),
@@ -244,10 +244,10 @@
         let read =
             Records { jobs: jobs.clone(), links: links.clone(), bad: list, ..Records::default() };
         let mut c = taken_over(read);
-        while let Some(uid) = c.links.unread(1).first().cloned() {
-            c.links.read(&uid, None);
+        while let Some(uid) = c.dependencies.next_unread_outcomes(1).first().cloned() {
+            c.dependencies.resolve_outcome(&uid, None);
         }
-        assert!(c.aside.job("wk-2").is_some());
+        assert!(c.unreadable.job_reason("wk-2").is_some());
         for (uid, told) in
             [("wk-1", true), ("wk-2", false), ("wk-3", false), ("wk-4", false), ("wk-5", true)]
         {
@@ -259,7 +259,7 @@
             !written(&all, "a/wk-2/0") && !written(&all, "a/wk-2/1") && !written(&all, "j/wk-2")
         );
         // Its own user may still cancel one behind it.
-        c.cancel(c.jobs.id("wk-4").expect("open"), T0 + 10);
+        c.cancel(c.jobs.id_of("wk-4").expect("open"), T0 + 10);
         commit(&mut c);
         assert_eq!(c.show("wk-4").expect("told").status, "aborted");
     }
@@ -268,7 +268,7 @@
 #[test]
 fn a_rental_that_can_t_be_read_is_left_and_never_asked_for_again() {
     let mut c = taken_over(Records { bad: bad("r/r-6-1"), ..Records::default() });
-    c.fleet.provided = Some(0);
+    c.fleet.provided_machines = Some(0);
     assert!(c.due_rentals(T0, 9).is_empty() && c.batch(16).is_none());
     // What it has rented reports, and is used.
     add_job(&mut c, "wk-1", |b| b.tasks = 1);
@@ -287,7 +287,7 @@
     let lost = c.batch(16).expect("both");
     assert_eq!(lost.keys.len(), 2);
     c.end_unreadable("wk-1");
-    assert!(c.aside.job("wk-1").is_some() && c.job("wk-1").is_none());
+    assert!(c.unreadable.job_reason("wk-1").is_some() && c.job("wk-1").is_none());
     let all = commit(&mut c);
     assert!(written(&all, "j/wk-2") && !written(&all, "j/wk-1"));
     // An accepted one is not dropped on its account.
@@ -304,15 +304,15 @@
     let machines = vec![machine("n-1", "small", &[("wk-1", 5, 0)])];
     let mut c = taken_over(Records { jobs, done, machines, ..Records::default() });
     let red = c.names.teams.get("red").expect("known");
-    assert_eq!(c.teams.usage(red).cpus, 4.0);
+    assert_eq!(c.team_usage.usage(red).cpus, 4.0);
     // It is there: it is halted, and goes on counting.
     let orders = exchange(&mut c, &report(1, 1, TERM, &[("wk-1/0", 5, "running")]), T0 + 10);
     assert!(halted(&orders, "wk-1/0"));
-    assert_eq!(c.teams.usage(red).cpus, 4.0);
+    assert_eq!(c.team_usage.usage(red).cpus, 4.0);
     // It is gone: its place is free for the other task, and it is not started again.
     let orders = exchange(&mut c, &report(1, 2, TERM, &[]), T0 + 20);
     assert_eq!(started(&orders), ["wk-1/1"]);
-    assert_eq!(c.jobs[&c.jobs.id("wk-1").expect("open")].done.len(), 1);
+    assert_eq!(c.jobs[&c.jobs.id_of("wk-1").expect("open")].done.len(), 1);
 }
 
 #[test]
@@ -320,7 +320,7 @@
     // Found where workers report every 8 s: a successor had room, and a quarter of a minute no machine to start on.
     for hurry in [false, true] {
         let mut c = cell();
-        c.hurry = hurry;
+        c.request_early_reports = hurry;
         let read = Records {
             jobs: vec![job("wk-1", |b| (b.tasks, b.cpus) = (3, 4.0))],
             machines: vec![
@@ -331,8 +331,8 @@
             ..Records::default()
         };
         rebuild(&mut c, read, T0, T0);
-        let name = |d: &Direct| c.machines[&d.machine.expect("known")].name.clone();
-        let told: Vec<String> = c.direct.iter().map(name).collect();
+        let name = |d: &DirectRequest| c.machines[&d.machine.expect("known")].name.clone();
+        let told: Vec<String> = c.direct_requests.iter().map(name).collect();
         let expected = if hurry { ["n-3", "n-2", "n-1"] } else { ["n-1", "n-2", "n-3"] };
         assert_eq!(told, expected);
     }
@@ -348,5 +348,5 @@
     let on = [("wk-1/0", 9, "running")];
     c.on_report(&report(1, 5, TERM - 1, &on), T0 + 10);
     c.on_report(&report(1, 6, TERM, &on), T0 + 20);
-    assert_eq!(c.squared.summary(), "1 gone on");
+    assert_eq!(c.reconciliation.summary(), "1 gone on");
 }
--- a/crates/core/src/workers/deaf.rs
+++ b/crates/core/src/workers/deaf.rs
@@ -6,7 +6,7 @@
 //! Nothing that the rules need rests on it: what may be on such a machine counts until a report or its lease proves that
 //! it is gone, as ever.
 
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::machine::Machine;
 use crate::state::names::MachineId;
 use crate::workers::nudges::nudge;
@@ -15,25 +15,25 @@
 /// One of fifty machines at a time is given back for it, and one at least.
 const PART: usize = 50;
 
-impl Cell {
+impl LeaderState {
     /// Takes note of whether a worker hears, by a report that is newer than the one answered last.
     pub(crate) fn listen(&mut self, mid: MachineId, r: &Report, now: u64) {
         let term = self.term;
         let Some(m) = self.machines.get_mut(&mid) else { return };
         let name = &m.name;
-        match m.hearing.heard(r, term, now) {
+        match m.response_tracker.check_report(r, term, now) {
             Some(true) => tracing::warn!(
                 "{name} does not hear: it reports, and carries out no answer; nothing more is placed there until it does"
             ),
             Some(false) => tracing::info!("{name} hears again"),
             None => return,
         }
-        self.stir = true;
+        self.placement_pending = true;
     }
 
     /// What a deaf worker is asked for, that changes nothing but its next report.
     pub(crate) fn ask_for_sign(&mut self, mid: MachineId) -> Option<Order> {
-        let deaf = self.machines.get(&mid)?.hearing.is_deaf();
+        let deaf = self.machines.get(&mid)?.response_tracker.is_unresponsive();
         deaf.then(|| nudge(self.new_attempt()))
     }
 
@@ -42,12 +42,12 @@
     pub(crate) fn deaf_returns(&self, now: u64) -> Vec<MachineId> {
         let most = (self.machines.len() / PART).max(1);
         let long = |m: &Machine| {
-            m.hearing.deaf().is_some_and(|since| now > since + 2 * self.settings.lease_ms())
+            m.response_tracker.unresponsive_since().is_some_and(|since| now > since + 2 * self.settings.lease_ms())
         };
-        let leaving = self.machines.values().filter(|m| m.leaving && m.hearing.is_deaf()).count();
+        let leaving = self.machines.values().filter(|m| m.leaving && m.response_tracker.is_unresponsive()).count();
         self.machines
             .iter()
-            .filter(|(_, m)| !m.leaving && m.entries.is_empty() && long(m))
+            .filter(|(_, m)| !m.leaving && m.assignments.is_empty() && long(m))
             .map(|(mid, _)| *mid)
             .take(most.saturating_sub(leaving))
             .collect()
@@ -58,11 +58,11 @@
 mod tests {
     use super::*;
     use crate::for_tests::*;
-    use crate::state::hearing::Hearing;
+    use crate::state::hearing::ResponseTracker;
 
     /// What a worker reports that carries out the answers or doesn't, and is one of `count` machines. Returns the cell
     /// after so many reports, each answered, and in how many answers tasks were sent.
-    fn reports(hears: impl Fn(u64) -> bool, count: u64) -> (Cell, usize) {
+    fn reports(hears: impl Fn(u64) -> bool, count: u64) -> (LeaderState, usize) {
         let mut c = cell();
         add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
         commit(&mut c);
@@ -100,9 +100,9 @@
         ];
         for (what, hears, count, deaf, sent) in rows {
             let (c, n) = reports(hears, count);
-            let mid = c.machines.id("n-1").expect("there");
-            assert_eq!((c.machines[&mid].hearing.is_deaf(), n), (deaf, sent), "{what}");
-            c.check();
+            let mid = c.machines.id_of("n-1").expect("there");
+            assert_eq!((c.machines[&mid].response_tracker.is_unresponsive(), n), (deaf, sent), "{what}");
+            c.check_invariants();
         }
     }
 
@@ -113,8 +113,8 @@
             let r = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
             exchange(&mut c, &r(1), T0);
             if n % 2 == 0 {
-                let mid = c.machines.id(format!("n-{n}").as_str()).expect("there");
-                c.machines.get_mut(&mid).expect("there").hearing = Hearing::deaf_since(T0);
+                let mid = c.machines.id_of(format!("n-{n}").as_str()).expect("there");
+                c.machines.get_mut(&mid).expect("there").response_tracker = ResponseTracker::new_unresponsive(T0);
             }
         }
         let lease = c.settings.lease_ms();
@@ -122,7 +122,7 @@
         assert_eq!(c.deaf_returns(T0 + 2 * lease + 1).len(), 4);
         c.machines
             .values_mut()
-            .filter(|m| m.hearing.is_deaf())
+            .filter(|m| m.response_tracker.is_unresponsive())
             .take(3)
             .for_each(|m| m.leaving = true);
         assert_eq!(c.deaf_returns(T0 + 2 * lease + 1).len(), 1);
--- a/crates/core/src/workers/faults.rs
+++ b/crates/core/src/workers/faults.rs
@@ -1,11 +1,11 @@
 //! Faulty and slow machines, and jobs that fail wherever they start.
 
-use crate::state::cell::Cell;
-use crate::state::job::{Job, Wait};
-use crate::state::machine::Seen;
+use crate::state::cell::LeaderState;
+use crate::state::job::{Job, WaitReason};
+use crate::state::machine::ObservedState;
 use crate::state::names::*;
 
-impl Cell {
+impl LeaderState {
     /// Tells a faulty machine from a job with a mistake. A failure counts against the machine once
     /// its job is known to run elsewhere; until then it may be the job's own, and the machine is
     /// only used last. A job that fails wherever it starts pauses, longer each time.
@@ -15,20 +15,20 @@
         *job.failed_on.entry(mid).or_insert(0) += 1;
         job.failures += 1;
         job.longest_failure = job.longest_failure.max(ran);
-        if !job.proven && !proven && job.is_failing() && now >= job.retry_at {
-            job.pauses += 1;
-            job.retry_at = now + (1000 << job.pauses.min(5));
-            job.wait = Wait::Backoff;
-            if job.pauses == 1 {
+        if !job.known_to_run && !proven && job.is_failing() && now >= job.retry_at {
+            job.backoff_count += 1;
+            job.retry_at = now + (1000 << job.backoff_count.min(5));
+            job.wait_reason = WaitReason::Backoff;
+            if job.backoff_count == 1 {
                 tracing::info!("{} fails wherever it starts, pausing", job.spec.uid);
             }
         }
-        let was = job.proven;
+        let was = job.known_to_run;
         if let Some(m) = self.machines.get_mut(&mid) {
             if was {
-                m.blamed += 1;
+                m.machine_failures += 1;
             } else {
-                *m.accused.entry(id).or_insert(0) += 1;
+                *m.suspect_failures.entry(id).or_insert(0) += 1;
             }
         }
         if was {
@@ -44,8 +44,8 @@
         let report = (self.settings.deployment.workers.report_s * 1000.0) as u64;
         let long = 2 * job.longest_failure.max(report) + 2000;
         self.machines.values().any(|m| {
-            m.entries.range((id, 0)..=(id, u32::MAX)).any(|(_, e)| {
-                e.seen == Seen::Running && e.running_at > 0 && now > e.running_at + long
+            m.assignments.range((id, 0)..=(id, u32::MAX)).any(|(_, e)| {
+                e.observed == ObservedState::Running && e.running_since > 0 && now > e.running_since + long
             })
         })
     }
@@ -53,14 +53,14 @@
     /// A job is known to run: where its tasks failed, the machine was at fault.
     pub fn prove(&mut self, id: JobId, now: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.pauses > 0 {
+        if job.backoff_count > 0 {
             tracing::info!("{} runs after {} failures", job.spec.uid, job.failures);
         }
-        (job.proven, job.pauses, job.retry_at) = (true, 0, 0);
+        (job.known_to_run, job.backoff_count, job.retry_at) = (true, 0, 0);
         let on: Vec<MachineId> = job.failed_on.keys().copied().collect();
         for mid in on {
             if let Some(m) = self.machines.get_mut(&mid) {
-                m.blamed += m.accused.remove(&id).unwrap_or(0);
+                m.machine_failures += m.suspect_failures.remove(&id).unwrap_or(0);
             }
             self.set_aside(mid, now);
         }
@@ -68,7 +68,7 @@
 
     /// Looks whether jobs of which tasks have failed run well by now.
     pub fn judge(&mut self, now: u64) {
-        let open = |j: &&Job| j.failures > 0 && !j.proven && j.open();
+        let open = |j: &&Job| j.failures > 0 && !j.known_to_run && j.is_open();
         let doubtful: Vec<JobId> =
             self.jobs.iter().filter(|(_, j)| open(j)).map(|(id, _)| *id).collect();
         for id in doubtful {
@@ -80,11 +80,11 @@
 
     fn set_aside(&mut self, mid: MachineId, now: u64) {
         let Some(m) = self.machines.get_mut(&mid) else { return };
-        if m.blamed < 2 || m.faulty {
+        if m.machine_failures < 2 || m.faulty {
             return;
         }
         m.faulty = true;
-        tracing::info!("quarantine {}: {} failed tasks in a row", m.name, m.blamed);
+        tracing::info!("quarantine {}: {} failed tasks in a row", m.name, m.machine_failures);
         self.drain(mid, now);
     }
 
@@ -95,17 +95,17 @@
         const SLOW: f64 = 2.5;
         const LONG: f64 = 1.5;
         let mut found = vec![];
-        for (mid, m) in self.machines.iter().filter(|(_, m)| m.usable(now, self.silence())) {
+        for (mid, m) in self.machines.iter().filter(|(_, m)| m.is_usable(now, self.report_timeout_ms())) {
             let (mut over, mut judged) = (0, 0);
-            for ((id, _), e) in &m.entries {
+            for ((id, _), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                if e.seen != Seen::Running || e.running_at == 0 || job.runs.0 < 4 {
+                if e.observed != ObservedState::Running || e.running_since == 0 || job.run_stats.0 < 4 {
                     continue;
                 }
                 judged += 1;
-                let ran = now.saturating_sub(e.running_at) as f64 / 1000.0;
-                let mean = job.runs.1 / f64::from(job.runs.0);
-                over += u32::from(ran > SLOW * mean + 5.0 && ran > LONG * job.runs.2);
+                let ran = now.saturating_sub(e.running_since) as f64 / 1000.0;
+                let mean = job.run_stats.1 / f64::from(job.run_stats.0);
+                over += u32::from(ran > SLOW * mean + 5.0 && ran > LONG * job.run_stats.2);
             }
             if judged >= 3 && over == judged {
                 found.push(*mid);
--- a/crates/core/src/workers/leases.rs
+++ b/crates/core/src/workers/leases.rs
@@ -1,44 +1,44 @@
 //! Workers' leases, and machines that are gone.
 
-use crate::state::cell::Cell;
-use crate::state::ledger::Key;
+use crate::state::cell::LeaderState;
+use crate::state::ledger::RecordKey;
 use crate::state::names::*;
 use copperhaven_recovery::Machine;
 
-impl Cell {
+impl LeaderState {
     /// Machines whose lease has surely run out lose their tasks.
     pub fn expire(&mut self, now: u64) -> Vec<MachineId> {
         let over: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| self.lease_over(m, now))
+            .filter(|(_, m)| self.is_lease_over(m, now))
             .map(|(mid, _)| *mid)
             .collect();
         for mid in &over {
             self.recovery.machine_gone(Machine(mid.0));
             if let Some(m) = self.machines.get_mut(mid) {
-                m.foreign.clear();
+                m.unreadable_job_tasks.clear();
             }
             let keys: Vec<(JobId, u32)> = self
                 .machines
                 .get(mid)
-                .map(|m| m.entries.keys().copied().collect())
+                .map(|m| m.assignments.keys().copied().collect())
                 .unwrap_or_default();
             for (id, task) in keys {
                 self.detach(*mid, id, task);
                 self.lost_task(id);
             }
         }
-        let free = |c: &Cell, name: &str| match c.machines.id(name) {
-            Some(mid) => c.machines.get(&mid).is_some_and(|m| c.lease_over(m, now)),
-            None => c.unheard_over(now),
+        let free = |c: &LeaderState, name: &str| match c.machines.id_of(name) {
+            Some(mid) => c.machines.get(&mid).is_some_and(|m| c.is_lease_over(m, now)),
+            None => c.are_unheard_leases_over(now),
         };
         let hidden: Vec<String> =
-            self.aside.machines().filter(|name| free(self, name)).cloned().collect();
+            self.unreadable.machines().filter(|name| free(self, name)).cloned().collect();
         for name in hidden {
             self.nothing_hidden(&name, "its lease has run out");
-            if !self.machines.has(&name) {
-                self.ledger.drop_path(format!("m/{name}"));
+            if !self.machines.contains_name(&name) {
+                self.write_queue.delete_path(format!("m/{name}"));
             }
         }
         over
@@ -46,9 +46,9 @@
 
     /// It is known by now what is on this machine, whose record can't be used.
     pub(crate) fn nothing_hidden(&mut self, name: &str, why: &str) {
-        if self.aside.clear_machine(name) {
+        if self.unreadable.remove_machine(name) {
             tracing::info!("what m/{name} may have held is known: {why}");
-            self.stir = true;
+            self.placement_pending = true;
         }
     }
 
@@ -57,17 +57,17 @@
         self.recovery.machine_gone(Machine(mid.0));
         let Some(m) = self.machines.get(&mid) else { return };
         let name = m.name.clone();
-        let keys: Vec<(JobId, u32)> = m.entries.keys().copied().collect();
+        let keys: Vec<(JobId, u32)> = m.assignments.keys().copied().collect();
         for (id, task) in keys {
             self.detach(mid, id, task);
             self.lost_task(id);
         }
         self.machines.remove(&mid);
         self.nothing_hidden(&name, "the cloud has taken it back");
-        self.ledger.forget(&Key::Machine(mid));
-        self.ledger.drop_path(format!("m/{name}"));
+        self.write_queue.forget(&RecordKey::Machine(mid));
+        self.write_queue.delete_path(format!("m/{name}"));
         for pack in self.packs.remove(mid) {
-            self.touch(Key::Pack(pack));
+            self.mark_dirty(RecordKey::Pack(pack));
         }
         for job in self.jobs.values_mut() {
             job.failed_on.remove(&mid);
--- a/crates/core/src/workers/nudges.rs
+++ b/crates/core/src/workers/nudges.rs
@@ -4,9 +4,9 @@
 //! carries the starts. Late or repeated a nudge starts nothing, whatever became of it: unlike a start that is sent
 //! directly, which may be carried out minutes later and would keep its task from being counted as absent until then.
 
-use crate::state::cell::Cell;
-use crate::state::ledger::Key;
-use crate::state::machine::{Direct, Machine, Seen};
+use crate::state::cell::LeaderState;
+use crate::state::ledger::RecordKey;
+use crate::state::machine::{DirectRequest, Machine, ObservedState};
 use crate::state::names::MachineId;
 use copperhaven_wire::workers::Order;
 
@@ -19,40 +19,40 @@
     Order::Run { task_id: format!("{NUDGE}/{}", attempt & 0xff_ffff), attempt }
 }
 
-impl Cell {
+impl LeaderState {
     /// These keys are safe: whose starts wait for a report is asked for one.
-    pub(crate) fn nudge(&mut self, keys: &[Key]) {
-        if !self.hurry {
+    pub(crate) fn nudge(&mut self, keys: &[RecordKey]) {
+        if !self.request_early_reports {
             return;
         }
         for key in keys {
-            let Key::Machine(mid) = key else { continue };
+            let RecordKey::Machine(mid) = key else { continue };
             if !self.wants_nudge(*mid) {
                 continue;
             }
             let attempt = self.new_attempt();
             let Some(m) = self.machines.get_mut(mid) else { continue };
-            m.nudged = m.last;
+            m.last_requested_report = m.last_report;
             let orders = vec![nudge(attempt)];
-            let (addr, shift) = (m.addr.clone(), m.last.0);
-            self.direct.push(Direct { machine: Some(*mid), addr, shift, orders });
+            let (addr, shift) = (m.addr.clone(), m.last_report.0);
+            self.direct_requests.push(DirectRequest { machine: Some(*mid), addr, session: shift, orders });
         }
     }
 
     /// Has it recorded starts to be told, and no report that waits for its answer? Once for each report.
     fn wants_nudge(&self, mid: MachineId) -> bool {
-        self.machines.get(&mid).is_some_and(|m| m.nudged != m.last && self.waits_for_report(mid, m))
+        self.machines.get(&mid).is_some_and(|m| m.last_requested_report != m.last_report && self.waits_for_report(mid, m))
     }
 
     fn waits_for_report(&self, mid: MachineId, m: &Machine) -> bool {
-        let key = Key::Machine(mid);
-        let unsent = |e: &crate::state::machine::Entry| {
-            e.mark.is_none() && e.seen == Seen::Not && !e.inherited && e.stop.is_none()
+        let key = RecordKey::Machine(mid);
+        let unsent = |e: &crate::state::machine::Assignment| {
+            e.run_sent_with.is_none() && e.observed == ObservedState::NotReported && !e.unconfirmed && e.stop_requested.is_none()
         };
         m.fenced
-            && !m.hearing.is_deaf()
-            && m.replied == m.last
-            && m.entries.values().any(|e| unsent(e) && self.is_saved(&key, e.ver))
+            && !m.response_tracker.is_unresponsive()
+            && m.last_ordered_report == m.last_report
+            && m.assignments.values().any(|e| unsent(e) && self.is_saved(&key, e.ver))
     }
 
     /// Is a nudge of this machine still of use?
@@ -68,36 +68,36 @@
     use crate::workers::reports::Taken;
 
     /// A cell whose starts hurry, with one idle machine that has reported and was answered.
-    fn hurried() -> (Cell, MachineId) {
+    fn hurried() -> (LeaderState, MachineId) {
         let mut c = cell();
-        c.hurry = true;
+        c.request_early_reports = true;
         exchange(&mut c, &report(1, 1, TERM, &[]), T0);
-        let mid = c.machines.id("n-1").expect("there");
+        let mid = c.machines.id_of("n-1").expect("there");
         (c, mid)
     }
 
-    fn place_one(c: &mut Cell) -> usize {
+    fn place_one(c: &mut LeaderState) -> usize {
         add_job(c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
         commit(c);
         c.place(T0 + 100);
-        assert!(c.direct.is_empty(), "nothing before it is recorded");
+        assert!(c.direct_requests.is_empty(), "nothing before it is recorded");
         commit(c);
-        c.direct.len()
+        c.direct_requests.len()
     }
 
     #[test]
     fn a_machine_is_nudged_once_its_start_is_recorded_and_only_if_no_report_waits() {
         let (mut c, mid) = hurried();
         assert_eq!(place_one(&mut c), 1);
-        let d = c.direct.pop().expect("one");
+        let d = c.direct_requests.pop().expect("one");
         let is_nudge =
             |o: &Order| matches!(o, Order::Run { task_id, .. } if task_id.starts_with(NUDGE));
         assert!(d.orders.len() == 1 && d.orders.iter().all(is_nudge), "no start: {:?}", d.orders);
         assert!(c.nudge_helps(mid));
         // Recorded again, it is not asked again; its report carries the start, and the nudge is of no use any more.
-        c.touch(Key::Machine(mid));
+        c.mark_dirty(RecordKey::Machine(mid));
         commit(&mut c);
-        assert!(c.direct.is_empty());
+        assert!(c.direct_requests.is_empty());
         let r = report(1, 2, TERM, &[("nudge/9", 9, "ended:no_such")]);
         assert_eq!(c.on_report(&r, T0 + 200), Taken::Answer(mid));
         assert!(!c.nudge_helps(mid), "a report waits for its answer");
@@ -106,7 +106,7 @@
             matches!(&orders[..], [Order::Forget { task_id, .. }, Order::Run { task_id: run, .. }]
             if task_id == "nudge/9" && run == "wk-1/0")
         );
-        assert!(!c.nudge_helps(mid) && c.machines[&mid].blamed == 0);
+        assert!(!c.nudge_helps(mid) && c.machines[&mid].machine_failures == 0);
         // While the report waits at the door, its response is the quicker way.
         let (mut c, mid) = hurried();
         c.on_report(&report(1, 2, TERM, &[]), T0 + 90);
@@ -133,7 +133,7 @@
             let runs = orders.iter().filter(|o| matches!(o, Order::Run { .. })).count();
             assert_eq!(runs, usize::from(tally == 2), "{orders:?}");
         }
-        assert_eq!((c.machines[&mid].blamed, c.finals.has("wk-1")), (0, true));
+        assert_eq!((c.machines[&mid].machine_failures, c.final_records.contains("wk-1")), (0, true));
     }
 
     #[test]
--- a/crates/core/src/workers/squaring.rs
+++ b/crates/core/src/workers/squaring.rs
@@ -1,7 +1,7 @@
 //! The first report of this term from a machine, held against what is on record of it: counted by what was met
 //! (`copperhaven_recovery::square`). What follows is done where reports are taken in.
 
-use crate::state::cell::Cell;
+use crate::state::cell::LeaderState;
 use crate::state::names::*;
 use crate::workers::reports::split;
 use copperhaven_recovery::Machine;
@@ -9,7 +9,7 @@
 use copperhaven_wire::workers::Report;
 use std::collections::BTreeMap;
 
-impl Cell {
+impl LeaderState {
     pub(super) fn square(&mut self, mid: MachineId, r: &Report, now: u64) {
         self.recovery.machine_reported(Machine(mid.0), now);
         let Some(m) = self.machines.get(&mid) else { return };
@@ -17,9 +17,9 @@
         // Nothing was put there before its first report under this term: all of it is from records, also what an earlier
         // report, by a worker that had not seen the term, has spoken for already. (Found on a deployment whose workers
         // report every 8 s: most tasks were counted as not on record.)
-        for ((id, task), e) in &m.entries {
+        for ((id, task), e) in &m.assignments {
             let Some(job) = self.jobs.get(id) else { continue };
-            let (open, done) = (job.open(), job.done.contains(*task));
+            let (open, done) = (job.is_open(), job.done.contains(*task));
             let pair = TaskComparison { recorded: Some(e.attempt), reported: None, job_open: open, recorded_done: done };
             tasks.insert((Some(*id), "", *task), pair);
         }
@@ -32,21 +32,21 @@
             };
             let reported = Some(ReportedTask { attempt: p.attempt, state });
             let known = self.job(uid);
-            let open = known.is_some_and(|(_, job)| job.open());
+            let open = known.is_some_and(|(_, job)| job.is_open());
             let done = known.is_some_and(|(_, job)| job.done.contains(task));
             let key = (known.map(|(id, _)| id), if known.is_none() { uid } else { "" }, task);
             let none = TaskComparison { recorded: None, reported: None, job_open: open, recorded_done: done };
             tasks.entry(key).or_insert(none).reported = reported;
         }
         for row in tasks.into_values().filter_map(reconcile) {
-            self.squared.add(row, 1);
+            self.reconciliation.add(row, 1);
         }
     }
 
     /// The bound of hearing is over, or all were heard: what is still not heard is counted as that.
     pub fn close_squaring(&mut self) {
-        let inherited = |m: &crate::state::machine::Machine| m.entries.len() as u64;
+        let inherited = |m: &crate::state::machine::Machine| m.assignments.len() as u64;
         let unheard = self.machines.values().filter(|m| !m.fenced).map(inherited).sum();
-        self.squared.add(ReconcileOutcome::MachineUnreported, unheard);
+        self.reconciliation.add(ReconcileOutcome::MachineUnreported, unheard);
     }
 }
--- a/crates/core/tests/failures/leaders.rs
+++ b/crates/core/tests/failures/leaders.rs
@@ -3,7 +3,7 @@
 use crate::world::*;
 use copperhaven_core::records::{Change, Cond, Record};
 use copperhaven_core::settings::NextLimits;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::names::Names;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::Taken;
@@ -28,7 +28,7 @@
         }
         // Half of the leaders ask workers for reports when starts wait.
         let hurry = term % 2 == 0;
-        let mut cell = Cell::new(Arc::new(settings), term, leader, now, names, flavors);
+        let mut cell = LeaderState::new(Arc::new(settings), term, leader, now, names, flavors);
         let mut read = Records::default();
         for (path, (record, stamp)) in &self.store {
             if self.spoiled.contains_key(path) {
@@ -49,9 +49,9 @@
         let bad: BTreeSet<String> = read.bad.iter().map(|(path, _)| path.clone()).collect();
         self.found += bad.len();
         if now + NEW >= self.falls {
-            cell.ledger.value_limit = LOW;
+            cell.write_queue.value_limit = LOW;
         }
-        cell.hurry = hurry;
+        cell.request_early_reports = hurry;
         read.packed = self.packs.contains(&term);
         rebuild(&mut cell, read, now, now);
         let mut cut: BTreeSet<usize> =
@@ -123,25 +123,25 @@
             let lead = self.lead(&self.leaders[k]);
             let l = &mut self.leaders[k];
             l.cell.expire(now);
-            self.deaf += l.cell.machines.values().filter(|m| m.hearing.is_deaf()).count();
+            self.deaf += l.cell.machines.values().filter(|m| m.response_tracker.is_unresponsive()).count();
             l.cell.move_lists(1);
-            l.cell.stir = true;
+            l.cell.placement_pending = true;
             if lead {
                 l.cell.place(now);
             }
-            let direct = std::mem::take(&mut l.cell.direct);
+            let direct = std::mem::take(&mut l.cell.direct_requests);
             let (term, cut) = (l.term, l.cut.clone());
             l.cell.follow(now);
             if now.is_multiple_of(2000) {
-                l.cell.record_service();
+                l.cell.record_fairness();
             }
-            let ops = if l.cell.ledger.value_limit == LOW { 5 } else { 16 };
+            let ops = if l.cell.write_queue.value_limit == LOW { 5 } else { 16 };
             let batch = (l.store && !l.writing).then(|| l.cell.batch(ops)).flatten();
-            let ask = if l.store { l.cell.links.unread(2) } else { vec![] };
+            let ask = if l.store { l.cell.dependencies.next_unread_outcomes(2) } else { vec![] };
             for d in direct {
                 let i: usize = d.addr.parse().expect("address");
                 if !cut.contains(&i) && !self.chance(0.1) {
-                    self.send(k, i, Msg::Command(i, term, d.shift, d.orders));
+                    self.send(k, i, Msg::Command(i, term, d.session, d.orders));
                 }
             }
             for uid in ask {
@@ -177,7 +177,7 @@
         let waiting = std::mem::take(&mut l.waiting);
         let mut out = vec![];
         for (i, at, tally) in waiting {
-            let Some(mid) = l.cell.machines.id(&format!("n-{i:03}")) else { continue };
+            let Some(mid) = l.cell.machines.id_of(&format!("n-{i:03}")) else { continue };
             if lead && !l.cell.orders_ready(mid) {
                 l.waiting.push((i, at, tally));
             } else if let Some(o) = l.cell.orders(mid, at, now, lead) {
@@ -209,8 +209,8 @@
             let cell = &self.leaders[k].cell;
             let Some(shown) = cell.show(uid) else {
                 let final_on_record = self.store.contains_key(&format!("f/{uid}"));
-                let aside = cell.aside.job(uid).is_some();
-                let known = cell.jobs.has(uid.as_str()) || final_on_record || aside;
+                let aside = cell.unreadable.job_reason(uid).is_some();
+                let known = cell.jobs.contains_name(uid.as_str()) || final_on_record || aside;
                 assert!(known || !self.accepted.contains(uid), "forgotten: {uid}");
                 continue;
             };
@@ -321,14 +321,14 @@
             }
             Msg::End(term, uid, done) => {
                 if let Some(l) = self.leaders.iter_mut().find(|l| l.term == term) {
-                    l.cell.links.read(&uid, done);
+                    l.cell.dependencies.resolve_outcome(&uid, done);
                     l.cell.follow(now);
                 }
             }
             Msg::Commit(term, batch, lost) => {
                 let (ops, bytes) = self.limits(now);
-                let long = batch.apply.iter().any(|c| c.bytes() > bytes);
-                if long || batch.apply.len() > ops || batch.when.len() > 4 * ops {
+                let long = batch.changes.iter().any(|c| c.bytes() > bytes);
+                if long || batch.changes.len() > ops || batch.conditions.len() > 4 * ops {
                     self.refused += 1;
                     let l = self.leaders.iter_mut().find(|l| l.term == term);
                     let new =
@@ -346,7 +346,7 @@
                         let put = matches!(c, Change::Put { .. });
                         put && l.bad.contains(c.path()) && !c.path().starts_with("m/")
                     };
-                    let over = batch.apply.iter().find(left);
+                    let over = batch.changes.iter().find(left);
                     assert!(over.is_none(), "an unreadable record is written over: {over:?}");
                 }
                 let outcome = self.apply(&batch);
@@ -368,7 +368,7 @@
                 match outcome {
                     Ok(rev) => {
                         l.cell.applied(&batch, rev);
-                        l.cell.ledger.alone = false;
+                        l.cell.write_queue.one_record_per_batch = false;
                         l.cell.follow(now);
                     }
                     Err(keys) if keys.iter().any(|k| k == "c/leader") => l.renewed = 0,
--- a/crates/core/tests/failures/users.rs
+++ b/crates/core/tests/failures/users.rs
@@ -72,9 +72,9 @@
             let named = body.depends_on.take().unwrap_or_default();
             let read = self.read(&named);
             let cell = &mut self.leaders[k].cell;
-            let known = cell.jobs.has(body.uid.as_str())
-                || cell.finals.has(body.uid.as_str())
-                || cell.aside.job(&body.uid).is_some();
+            let known = cell.jobs.contains_name(body.uid.as_str())
+                || cell.final_records.contains(body.uid.as_str())
+                || cell.unreadable.job_reason(&body.uid).is_some();
             let names = match cell.look_at_awaits(&named, &read) {
                 Awaits::Open(open) => Some((open, false)),
                 Awaits::Cancelled => Some((vec![], true)),
@@ -89,7 +89,7 @@
         // Cancellations are common while an earlier leader holds machines that don't hear of this one, most of all at
         // once: those have the longest to wait.
         let parted = self.loyal.values().any(|term| *term < self.leaders[k].term);
-        let at_once = parted && now < self.leaders[k].cell.taken + 3_000;
+        let at_once = parted && now < self.leaders[k].cell.took_over_at + 3_000;
         let often = if at_once {
             0.1
         } else if parted {
@@ -108,7 +108,7 @@
                 uid = all.get(n % all.len().max(1)).map_or(uid, |uid| uid.to_string());
             }
             let cell = &mut self.leaders[k].cell;
-            if let Some(id) = cell.jobs.id(uid.as_str()) {
+            if let Some(id) = cell.jobs.id_of(uid.as_str()) {
                 cell.cancel(id, now);
                 self.parted += usize::from(parted && !self.asked_to_cancel.contains(&uid));
                 self.asked_to_cancel.insert(uid);
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -3,7 +3,7 @@
 use copperhaven_core::for_tests::{OBJECTIVES, TEAMS, sample_with};
 use copperhaven_core::records::{Change, Cond, Record};
 use copperhaven_core::settings::Settings;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
 use copperhaven_core::state::ledger::Batch;
 use copperhaven_core::state::names::Names;
@@ -63,7 +63,7 @@
 
 pub struct Leader {
     pub term: u64,
-    pub cell: Cell,
+    pub cell: LeaderState,
     pub renewed: u64,
     pub store: bool,
     pub cut: BTreeSet<usize>,
@@ -128,7 +128,7 @@
     vec![Flavor {
         label: "m8".into(),
         cpus: 8.0,
-        cards: 0.0,
+        gpus: 0.0,
         mem_gb: 32.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
@@ -227,7 +227,7 @@
             path => w.store.get(path).map_or(0, |(_, s)| *s),
         };
         let failed: Vec<String> = batch
-            .when
+            .conditions
             .iter()
             .filter(|c| stamp(self, c) != c.stamp)
             .map(|c| c.path.clone())
@@ -236,7 +236,7 @@
             return Err(failed);
         }
         self.rev += 1;
-        for change in &batch.apply {
+        for change in &batch.changes {
             match change {
                 Change::Put { put, v, .. } => {
                     self.spoiled.remove(put);
--- a/crates/core/tests/packs.rs
+++ b/crates/core/tests/packs.rs
@@ -3,14 +3,14 @@
 
 use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, exchange, record, report};
 use copperhaven_core::records::{Change, OnRecord, PackRecord, Record};
-use copperhaven_core::state::cell::Cell;
-use copperhaven_core::state::ledger::Key;
+use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_wire::workers::Report;
 use std::collections::BTreeMap;
 
 /// Machines `n-1`… that have reported twice, each with one task of a job of its own.
-fn running(count: usize) -> Cell {
+fn running(count: usize) -> LeaderState {
     let mut c = cell();
     for n in 1..=count {
         add_job(&mut c, &format!("wk-{n}"), |b| (b.tasks, b.cpus, b.deadline_s) = (1, 4.0, None));
@@ -20,7 +20,7 @@
         let named = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
         exchange(&mut c, &named(1), T0);
     }
-    assert!(c.machines.values().all(|m| m.entries.len() == 1), "one task each");
+    assert!(c.machines.values().all(|m| m.assignments.len() == 1), "one task each");
     c
 }
 
@@ -44,18 +44,18 @@
 fn a_list_moves_in_one_transaction_and_moves_back_only_once_its_own_record_is_safe() {
     let mut c = running(3);
     c.pack_machines();
-    assert_eq!(c.ledger.unwritten(), 0, "they move at a pace");
+    assert_eq!(c.write_queue.dirty_count(), 0, "they move at a pace");
     c.move_lists(1);
     let batch = c.batch(16).expect("the first moves");
     let all = Some(vec!["n-1".to_string(), "n-2".into(), "n-3".into()]);
     let one = Some(vec!["n-1".to_string()]);
     let expected = BTreeMap::from([("m/n-1".to_string(), None), ("p/0".into(), one)]);
-    assert_eq!(told(&batch.apply), expected, "it goes only where it is listed");
+    assert_eq!(told(&batch.changes), expected, "it goes only where it is listed");
     c.applied(&batch, 2000);
     c.move_lists(9);
     let rest = c.batch(16).expect("the others");
     let gone = |n: u32| (format!("m/n-{n}"), None);
-    assert_eq!(told(&rest.apply), BTreeMap::from([gone(2), gone(3), ("p/0".into(), all)]));
+    assert_eq!(told(&rest.changes), BTreeMap::from([gone(2), gone(3), ("p/0".into(), all)]));
     c.applied(&rest, 2001);
     assert!(c.batch(16).is_none());
     // Back, with room for one change at a time: until a machine's own record is safe its pack lists it.
@@ -64,7 +64,7 @@
     let mut own = 0;
     for rev in 2002.. {
         let Some(batch) = c.batch(1) else { break };
-        for (path, to) in told(&batch.apply) {
+        for (path, to) in told(&batch.changes) {
             match (path.as_str(), to) {
                 ("p/0", None) => packed = 0,
                 ("p/0", Some(list)) => packed = list.len(),
@@ -76,7 +76,7 @@
         }
         assert!(packed + own >= 3, "{packed} in the pack, {own} with records of their own");
         c.applied(&batch, rev);
-        c.check();
+        c.check_invariants();
     }
     assert_eq!((packed, own, c.packs.is_empty()), (0, 3, true));
 }
@@ -96,7 +96,7 @@
     c.place(T0 + 1);
     let batch = c.batch(1).expect("one change");
     let all = Some((1..=4).map(|n| format!("n-{n}")).collect());
-    assert_eq!(told(&batch.apply), BTreeMap::from([("p/0".to_string(), all)]));
+    assert_eq!(told(&batch.changes), BTreeMap::from([("p/0".to_string(), all)]));
     assert_eq!(batch.keys.len(), 4);
     c.applied(&batch, 2000);
     for mid in c.machines.keys().copied().collect::<Vec<_>>() {
@@ -106,7 +106,7 @@
     for (n, left) in [(2, 3), (1, 2), (4, 1)] {
         c.returned(&[format!("n-{n}")]);
         let batch = c.batch(16).expect("the pack without it");
-        let list = told(&batch.apply).remove("p/0").flatten();
+        let list = told(&batch.changes).remove("p/0").flatten();
         assert_eq!(list.map(|l| l.len()), Some(left));
         c.applied(&batch, 3000 + n);
     }
@@ -129,16 +129,16 @@
         Some(all)
     };
     // Five of six would be written along: the sixth goes to a pack of its own.
-    c.touch(Key::Machine(ids[5]));
+    c.mark_dirty(RecordKey::Machine(ids[5]));
     let batch = c.batch(16).expect("one list");
-    assert_eq!(told(&batch.apply), BTreeMap::from([("p/1".to_string(), lists(&[6]))]));
+    assert_eq!(told(&batch.changes), BTreeMap::from([("p/1".to_string(), lists(&[6]))]));
     // Its outcome is unknown. What is written of the pack where it was goes on listing it.
     ids[..5].iter().for_each(|mid| {
-        c.touch(Key::Machine(*mid));
+        c.mark_dirty(RecordKey::Machine(*mid));
     });
     c.returned(&["n-1".to_string()]);
     let batch = c.batch(1).expect("the pack");
-    let told_of = told(&batch.apply);
+    let told_of = told(&batch.changes);
     assert_eq!(told_of.len(), 1);
     for (path, list) in &told_of {
         assert_eq!(*list, lists(&[2, 3, 4, 5, 6]), "{path}");
@@ -146,17 +146,17 @@
     c.applied(&batch, 2000);
     commit(&mut c);
     // Safe at its new place, it is listed there alone with the next write of the old one.
-    let home = c.packs.of(ids[5]).expect("packed");
-    let others: Vec<_> = ids[1..5].iter().filter(|m| c.packs.of(**m) != Some(home)).collect();
+    let home = c.packs.pack_of(ids[5]).expect("packed");
+    let others: Vec<_> = ids[1..5].iter().filter(|m| c.packs.pack_of(**m) != Some(home)).collect();
     for mid in &others {
-        c.touch(Key::Machine(**mid));
+        c.mark_dirty(RecordKey::Machine(**mid));
     }
     for change in commit(&mut c) {
         let other = change.path() != format!("p/{}", home.0);
         let listed = told(std::slice::from_ref(&change)).into_values().flatten().flatten();
         assert!(!(other && listed.into_iter().any(|n| n == "n-6")), "{}", change.path());
     }
-    c.check();
+    c.check_invariants();
 }
 
 #[test]
@@ -165,22 +165,22 @@
     c.pack_machines();
     c.move_lists(9);
     commit(&mut c);
-    c.ledger.value_limit = 4096;
+    c.write_queue.value_limit = 4096;
     c.pack_machines();
-    assert!(c.packs.are_on());
-    c.ledger.value_limit = 512;
+    assert!(c.packs.is_enabled());
+    c.write_queue.value_limit = 512;
     c.machines.keys().copied().collect::<Vec<_>>().into_iter().for_each(|mid| {
-        c.touch(Key::Machine(mid));
+        c.mark_dirty(RecordKey::Machine(mid));
     });
     for change in commit(&mut c) {
         assert!(change.bytes() <= 512, "{}: {}", change.path(), change.bytes());
     }
-    assert_eq!((c.ledger.unwritten(), c.ledger.held_back()), (0, 0));
+    assert_eq!((c.write_queue.dirty_count(), c.write_queue.held_back_count()), (0, 0));
     // Too short for packs at all: each has a record of its own again, and no pack is left.
-    c.ledger.value_limit = 2048;
+    c.write_queue.value_limit = 2048;
     c.pack_machines();
     commit(&mut c);
-    assert!(c.packs.is_empty() && !c.packs.are_on());
+    assert!(c.packs.is_empty() && !c.packs.is_enabled());
 }
 
 fn pack(lists: &[(&str, &str, &str)]) -> PackRecord {
@@ -247,9 +247,9 @@
         };
         c.on_report(&other(1), T0 + 10);
         c.place(T0 + 20);
-        let on = |c: &Cell| {
-            let mid = c.machines.id("n-9").expect("there");
-            c.machines[&mid].entries.keys().any(|(_, task)| *task == 0)
+        let on = |c: &LeaderState| {
+            let mid = c.machines.id_of("n-9").expect("there");
+            c.machines[&mid].assignments.keys().any(|(_, task)| *task == 0)
         };
         assert_eq!(on(&c), !held, "{what}");
         for change in commit(&mut c) {
@@ -261,7 +261,7 @@
         c.expire(over);
         c.place(over);
         assert!(on(&c), "{what}: at last");
-        c.check();
+        c.check_invariants();
     }
 }
 
@@ -278,7 +278,7 @@
         batch: &copperhaven_core::state::ledger::Batch,
     ) -> Result<u64, Vec<String>> {
         let stamp = |path: &str| self.pairs.get(path).map_or(0, |(_, s)| *s);
-        let failed: Vec<String> = batch.when[1..]
+        let failed: Vec<String> = batch.conditions[1..]
             .iter()
             .filter(|c| stamp(&c.path) != c.stamp)
             .map(|c| c.path.clone())
@@ -287,7 +287,7 @@
             return Err(failed);
         }
         self.rev += 1;
-        for change in &batch.apply {
+        for change in &batch.changes {
             match change {
                 Change::Put { put, v, .. } => {
                     self.pairs.insert(put.clone(), (v.clone(), self.rev));
@@ -379,7 +379,7 @@
                 c.on_report(&r, now);
                 on.retain(|p, _| !ended.contains(p));
                 c.place(now);
-                let mid = c.machines.id(&r.machine).expect("there");
+                let mid = c.machines.id_of(&r.machine).expect("there");
                 for order in c.orders(mid, (1, *tally), now, true).expect("orders").orders {
                     match order {
                         copperhaven_wire::workers::Order::Run { task_id: parcel, attempt } => {
@@ -438,7 +438,7 @@
             }
             // A superset may be more than a team's limit, until it is heard.
             if c.machines.values().all(|m| m.fenced) {
-                c.check();
+                c.check_invariants();
             }
             moved += c.packs.len();
         }
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -1,8 +1,8 @@
 //! Placement passes with their bounds and without come to the same, whatever happens in between.
 
 use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, report};
-use copperhaven_core::state::cell::Cell;
-use copperhaven_core::state::machine::Seen;
+use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use copperhaven_wire::workers::Report;
 use proptest::prelude::*;
@@ -46,23 +46,23 @@
 const MACHINES: usize = 10;
 
 /// A report in which each task that the list has is as far on as `luck` says.
-fn told(c: &Cell, i: usize, luck: u64, now: u64) -> Report {
+fn told(c: &LeaderState, i: usize, luck: u64, now: u64) -> Report {
     let name = format!("n-{i}");
     let mut parcels: Vec<(String, u64, &str)> = vec![];
-    if let Some(m) = c.machines.id(&name).and_then(|mid| c.machines.get(&mid)) {
-        for (at, ((id, task), e)) in m.entries.iter().enumerate() {
+    if let Some(m) = c.machines.id_of(&name).and_then(|mid| c.machines.get(&mid)) {
+        for (at, ((id, task), e)) in m.assignments.iter().enumerate() {
             // What was never sent is not there.
-            if e.mark.is_none() && e.seen == Seen::Not {
+            if e.run_sent_with.is_none() && e.observed == ObservedState::NotReported {
                 continue;
             }
-            let status = match (e.stop.is_some(), luck.rotate_left(at as u32 * 3) % 8) {
+            let status = match (e.stop_requested.is_some(), luck.rotate_left(at as u32 * 3) % 8) {
                 (true, _) => "ended:halted",
                 (_, 0) => "ended:done",
-                (_, 1) if e.seen == Seen::Running => "ended:error",
-                (_, 2 | 3) if e.seen != Seen::Running => "pulling",
+                (_, 1) if e.observed == ObservedState::Running => "ended:error",
+                (_, 2 | 3) if e.observed != ObservedState::Running => "pulling",
                 _ => "running",
             };
-            parcels.push((c.parcel(*id, *task), e.attempt, status));
+            parcels.push((c.task_id(*id, *task), e.attempt, status));
         }
     }
     let list: Vec<(&str, u64, &str)> =
@@ -73,17 +73,17 @@
 }
 
 /// Who is where, told to stop or not; for whom machines are kept; why jobs wait.
-fn picture(c: &Cell) -> String {
+fn picture(c: &LeaderState) -> String {
     let mut out = String::new();
     for m in c.machines.values() {
         out += &format!("{} kept {:?}:", m.name, m.reserved);
-        for ((id, task), e) in &m.entries {
-            out += &format!(" {}/{} {:?}", c.jobs[id].spec.uid, task, e.stop);
+        for ((id, task), e) in &m.assignments {
+            out += &format!(" {}/{} {:?}", c.jobs[id].spec.uid, task, e.stop_requested);
         }
         out += "\n";
     }
     for job in c.jobs.values() {
-        out += &format!("{} {:?} {}\n", job.spec.uid, job.wait, job.waiting.len());
+        out += &format!("{} {:?} {}\n", job.spec.uid, job.wait_reason, job.waiting.len());
     }
     out
 }
@@ -120,9 +120,9 @@
             Step::Wait(ms) => now += ms,
         }
         prop_assert_eq!(picture(&new), picture(&plain), "after {:?}", step);
-        new.check();
-        let entries = || new.machines.values().flat_map(|m| m.entries.values());
-        stops = stops.max(entries().filter(|e| e.stop.is_some()).count());
+        new.check_invariants();
+        let entries = || new.machines.values().flat_map(|m| m.assignments.values());
+        stops = stops.max(entries().filter(|e| e.stop_requested.is_some()).count());
         on = on.max(entries().count());
     }
     Ok((on, stops))
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -1,15 +1,15 @@
 //! Copies of one machine's reports, late, repeated and in any order: what counts is the newest, whenever it arrives.
 
 use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, exchange, report};
-use copperhaven_core::state::cell::Cell;
-use copperhaven_core::state::machine::Seen;
+use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::workers::{Order, Report};
 use proptest::prelude::*;
 
 const TASKS: u64 = 6;
 
 /// A machine that was just told to run six tasks, and their attempts.
-fn begun() -> (Cell, Vec<(String, u64)>) {
+fn begun() -> (LeaderState, Vec<(String, u64)>) {
     let mut c = cell();
     add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (TASKS, 0.5, None));
     commit(&mut c);
@@ -43,15 +43,15 @@
     out
 }
 
-type Known = (Vec<(u32, u64, Option<Seen>)>, Vec<u32>, u32, u32, (u64, u64), usize);
+type Known = (Vec<(u32, u64, Option<ObservedState>)>, Vec<u32>, u32, u32, (u64, u64), usize);
 
 /// What is known of the machine and the job's tasks.
-fn known(c: &Cell) -> Known {
-    let mid = c.machines.id("n-1").expect("there");
+fn known(c: &LeaderState) -> Known {
+    let mid = c.machines.id_of("n-1").expect("there");
     let m = &c.machines[&mid];
-    let on = m.entries.iter().map(|((_, task), e)| (*task, e.attempt, Some(e.seen))).collect();
-    let Some((_, job)) = c.job("wk-1") else { return (on, vec![], 0, 6, m.last, 0) };
-    (on, job.waiting.iter().collect(), job.running, job.done.len(), m.last, job.onto.len())
+    let on = m.assignments.iter().map(|((_, task), e)| (*task, e.attempt, Some(e.observed))).collect();
+    let Some((_, job)) = c.job("wk-1") else { return (on, vec![], 0, 6, m.last_report, 0) };
+    (on, job.waiting.iter().collect(), job.running, job.done.len(), m.last_report, job.placement_counts.len())
 }
 
 proptest! {
@@ -73,7 +73,7 @@
         copies.insert(at.index(copies.len() + 1), newest);
         for (i, r) in copies.into_iter().enumerate() {
             c.on_report(r, T0 + 1_000 * (i as u64 + 1));
-            c.check();
+            c.check_invariants();
         }
         prop_assert_eq!(known(&c), known(&alone));
     }
--- a/crates/core/tests/takeover_input.rs
+++ b/crates/core/tests/takeover_input.rs
@@ -165,7 +165,7 @@
     let read = records(rng);
     let all = read.jobs.len();
     rebuild(&mut c, read, NOW, WALL);
-    c.fleet.provided = Some(0);
+    c.fleet.provided_machines = Some(0);
     for step in 1..12u64 {
         let now = NOW + step * rng.random_range(1..9_000);
         let r = report(rng, TERM, step);
@@ -180,9 +180,9 @@
         c.plan_returns(now);
         c.plan_rentals(now);
         if let Some(batch) = c.batch(16) {
-            assert!(batch.apply.len() <= 16);
-            for change in &batch.apply {
-                assert!(change.bytes() <= c.ledger.value_limit, "{change:?}");
+            assert!(batch.changes.len() <= 16);
+            for change in &batch.changes {
+                assert!(change.bytes() <= c.write_queue.value_limit, "{change:?}");
             }
             c.applied(&batch, 100 + step);
         }
@@ -190,7 +190,7 @@
             let _ = c.show(&format!("wk-{n}"));
         }
         if rng.random_bool(0.2)
-            && let Some(id) = c.jobs.id(&uid(rng))
+            && let Some(id) = c.jobs.id_of(&uid(rng))
         {
             c.cancel(id, now);
         }
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -5,9 +5,9 @@
 use copperhaven_core::admission::shape::admit_shape;
 use copperhaven_core::for_tests::{OBJECTIVES, TEAMS, body, sample_with};
 use copperhaven_core::records::*;
-use copperhaven_core::state::cell::Cell;
+use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
-use copperhaven_core::state::ledger::Key;
+use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::Taken;
@@ -38,15 +38,15 @@
     rmp_serde::from_slice(&fixture(path).expect(path)).expect(path)
 }
 
-fn cell(value_limit: usize) -> Cell {
+fn cell(value_limit: usize) -> LeaderState {
     let settings = sample_with(&[(TEAMS, RED), (OBJECTIVES, ""), NEXT]);
     let mut names = Names::new(&settings);
     let types: FlavorsRecord = read("c/flavors");
     let flavors: Vec<Flavor> =
         types.berths.iter().map(|w: &WireMachineType| Flavor::from_wire(w, &mut names)).collect();
     let leader = Cond { path: "c/leader".into(), stamp: 50 };
-    let mut c = Cell::new(Arc::new(settings), TERM, leader, T0, names, flavors);
-    c.ledger.value_limit = value_limit;
+    let mut c = LeaderState::new(Arc::new(settings), TERM, leader, T0, names, flavors);
+    c.write_queue.value_limit = value_limit;
     c
 }
 
@@ -70,19 +70,19 @@
 }
 
 /// Records what can be, as transactions of five changes; the paths written.
-fn commit(c: &mut Cell) -> Vec<Change> {
+fn commit(c: &mut LeaderState) -> Vec<Change> {
     let mut out = vec![];
     for rev in 0..100 {
         let Some(batch) = c.batch(5) else { return out };
-        assert!(batch.apply.len() <= 5 && batch.when.len() <= 20);
-        assert!(batch.apply.iter().all(|x| x.bytes() <= c.ledger.value_limit));
+        assert!(batch.changes.len() <= 5 && batch.conditions.len() <= 20);
+        assert!(batch.changes.iter().all(|x| x.bytes() <= c.write_queue.value_limit));
         c.applied(&batch, 2000 + rev);
-        out.extend(batch.apply);
+        out.extend(batch.changes);
     }
     panic!("the same records again and again");
 }
 
-fn submit(c: &mut Cell, uid: &str, edit: fn(&mut JobBody)) -> JobId {
+fn submit(c: &mut LeaderState, uid: &str, edit: fn(&mut JobBody)) -> JobId {
     let mut body = JobBody {
         tasks: 1,
         cpus: 0.25,
@@ -97,7 +97,7 @@
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
     let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, body, 1, T0 as i64);
-    let ver = c.touch(Key::Job(id));
+    let ver = c.mark_dirty(RecordKey::Job(id));
     c.jobs.get_mut(&id).expect("there").accept_ver = ver;
     id
 }
@@ -129,11 +129,11 @@
     rebuild(&mut c, left_by_production(), T0, T0);
     // An array half of which is done, scattered, the rest on a machine; a cancelled one.
     let (array, ended) = (
-        &c.jobs[&c.jobs.id("wk-000412").expect("known")],
-        &c.jobs[&c.jobs.id("wk-000500").expect("known")],
+        &c.jobs[&c.jobs.id_of("wk-000412").expect("known")],
+        &c.jobs[&c.jobs.id_of("wk-000500").expect("known")],
     );
-    assert_eq!((array.done.len(), array.onto.len(), array.waiting.len()), (60, 60, 0));
-    assert!(ended.cancelled() && ended.waiting.is_empty());
+    assert_eq!((array.done.len(), array.placement_counts.len(), array.waiting.len()), (60, 60, 0));
+    assert!(ended.is_cancelled() && ended.waiting.is_empty());
     assert_eq!(c.show("wk-000412").expect("known").status, "queued");
     assert_eq!(c.show("wk-000500").expect("known").status, "aborted");
     assert_eq!(c.fleet.rentals.len(), 1, "asked for again under its name");
@@ -146,13 +146,13 @@
     let long = Record::Machine(read("m/n-000231")).bytes();
     let mut c = cell(long - 1);
     rebuild(&mut c, left_by_production(), T0, T0);
-    let mid = c.machines.id("n-000231").expect("known");
+    let mid = c.machines.id_of("n-000231").expect("known");
     let others = commit(&mut c);
     assert!(others.iter().all(|x| x.path() != "m/n-000231"));
     submit(&mut c, "wk-000600", |_| ());
-    c.touch(Key::Machine(mid));
+    c.mark_dirty(RecordKey::Machine(mid));
     let on: Vec<TaskReport> = c.machines[&mid]
-        .entries
+        .assignments
         .iter()
         .map(|((id, task), e)| TaskReport {
             task_id: format!("{}/{task}", c.jobs[id].spec.uid),
@@ -166,10 +166,10 @@
     c.place(T0 + 1000);
     let written = commit(&mut c);
     assert!(written.iter().any(|x| x.path() == "j/wk-000600"), "users' answers go on");
-    assert!(c.ledger.is_held_back(&Key::Machine(mid)), "and this one waits");
+    assert!(c.write_queue.is_held_back(&RecordKey::Machine(mid)), "and this one waits");
     c.place(T0 + 2000);
-    let new = c.jobs.id("wk-000600").expect("known");
-    assert!(!c.machines[&mid].entries.contains_key(&(new, 0)), "nothing is added meanwhile");
+    let new = c.jobs.id_of("wk-000600").expect("known");
+    assert!(!c.machines[&mid].assignments.contains_key(&(new, 0)), "nothing is added meanwhile");
     // A task for it goes to another machine.
     c.on_report(&report("n-000300", 1, vec![]), T0 + 2500);
     c.place(T0 + 2500);
@@ -177,9 +177,9 @@
     // When tasks have ended the record fits again, and is written.
     let left: Vec<TaskReport> = on.iter().take(5).cloned().collect();
     c.on_report(&report("n-000231", 6, left), T0 + 3000);
-    c.touch(Key::Machine(mid));
+    c.mark_dirty(RecordKey::Machine(mid));
     assert!(commit(&mut c).iter().any(|x| x.path() == "m/n-000231"));
-    assert!(c.ledger.held_back() == 0);
+    assert!(c.write_queue.held_back_count() == 0);
 }
 
 #[test]
@@ -201,7 +201,7 @@
         }
     }
     assert!(read.done.len() > 2, "in parts: {}", read.done.len());
-    assert!((0..1500).step_by(2).all(|task| c.done_saved(id, task)));
+    assert!((0..1500).step_by(2).all(|task| c.is_done_saved(id, task)));
     let job = JobRecord {
         job: (*c.jobs[&id].body).clone(),
         at: 1,
@@ -212,14 +212,14 @@
     read.jobs.push(("j/wk-000700".into(), job, 1));
     let mut next = cell(2048);
     rebuild(&mut next, read, T0, T0);
-    let job = &next.jobs[&next.jobs.id("wk-000700").expect("known")];
+    let job = &next.jobs[&next.jobs.id_of("wk-000700").expect("known")];
     assert_eq!((job.done.len(), job.waiting.len()), (750, 750));
     // All that was written goes when the job is over.
-    let id = next.jobs.id("wk-000700").expect("known");
+    let id = next.jobs.id_of("wk-000700").expect("known");
     next.cancel(id, T0);
     commit(&mut next);
     let dropped = commit(&mut next);
-    assert!(next.ledger.paths().all(|p| !p.starts_with("d/")), "{dropped:?}");
+    assert!(next.write_queue.paths().all(|p| !p.starts_with("d/")), "{dropped:?}");
 }
 
 #[test]
@@ -238,7 +238,7 @@
     while let Some(batch) = c.batch(5) {
         rev += 1;
         assert!(rev < 3200, "the same transaction again and again");
-        if batch.apply.iter().any(|x| x.bytes() > 1700) {
+        if batch.changes.iter().any(|x| x.bytes() > 1700) {
             refused += 1;
             c.malformed(&batch);
         } else {
@@ -246,8 +246,8 @@
         }
     }
     assert!((1..6).contains(&refused), "{refused}");
-    assert_eq!(c.ledger.commits.too_large, refused);
-    assert!(c.show("wk-4").is_some() && c.done_saved(id, 1498));
+    assert_eq!(c.write_queue.commit_stats.refused_too_large, refused);
+    assert!(c.show("wk-4").is_some() && c.is_done_saved(id, 1498));
 }
 
 // ---- this version's records as production reads and writes them again -----------------------
@@ -313,7 +313,7 @@
     assert_eq!(seen.job.berths, Some(vec![]));
     assert!(!seen.cancelled);
     // Once nothing is missing it is a job like any other, for production, too.
-    let one = c.jobs.id("wk-1").expect("known");
+    let one = c.jobs.id_of("wk-1").expect("known");
     c.task_done(one, 0);
     commit(&mut c);
     c.follow(T0 + 5000);
@@ -337,12 +337,12 @@
     // Old leads, new takes over and finishes some, old takes over again and reads the same.
     let mut c = cell(2048);
     rebuild(&mut c, left_by_production(), T0, T0);
-    let id = c.jobs.id("wk-000412").expect("known");
-    let mid = c.machines.id("n-000231").expect("known");
-    let attempt = c.machines[&mid].entries.values().map(|e| e.attempt).max().expect("some");
+    let id = c.jobs.id_of("wk-000412").expect("known");
+    let mid = c.machines.id_of("n-000231").expect("known");
+    let attempt = c.machines[&mid].assignments.values().map(|e| e.attempt).max().expect("some");
     let ends = |task: u32| TaskReport {
         task_id: format!("wk-000412/{task}"),
-        attempt: c.machines[&mid].entries[&(id, task)].attempt,
+        attempt: c.machines[&mid].assignments[&(id, task)].attempt,
         status: "ended".into(),
         cause: Some("done".into()),
         kept: false,
@@ -351,7 +351,7 @@
     let Taken::Answer(_) = c.on_report(&report("n-000231", 5, over), T0 + 900) else {
         panic!("not taken")
     };
-    let orders = |c: &mut Cell, at| c.orders(mid, (1, at), T0 + 950, true).expect("orders").orders;
+    let orders = |c: &mut LeaderState, at| c.orders(mid, (1, at), T0 + 950, true).expect("orders").orders;
     assert!(orders(&mut c, 5).iter().all(|o| !matches!(o, Order::Forget { .. })));
     let done = commit(&mut c).into_iter().find_map(|x| match x {
         Change::Put { put, v, .. } if put == "d/wk-000412/0" => Some(encode(&v)),
