--- a/crates/controller/src/client.rs
+++ b/crates/controller/src/client.rs
@@ -3,7 +3,7 @@
 use crate::http::Client;
 use crate::net::Net;
 use crate::store::{Store, StoreError};
-use copperhaven_core::records::{CAN, STAGES};
+use copperhaven_core::records::{ABILITIES_PREFIX, STAGES_KEY};
 use copperhaven_core::settings::Settings;
 use copperhaven_rollout::{ABILITIES, AbilitiesRecord, HoldReason, Transition, StagesRecord, next_transition};
 use copperhaven_wire::jobs::{JobStatus, is_valid_uid};
@@ -32,9 +32,9 @@
 type Cans = BTreeMap<String, AbilitiesRecord>;
 
 async fn read_stages(store: &Store) -> Result<(StagesRecord, Cans), StoreError> {
-    let stages = store.get::<StagesRecord>(STAGES).await?.map(|(s, _)| s).unwrap_or_default();
-    let cans = store.list::<AbilitiesRecord>(CAN).await?.rows.into_iter();
-    Ok((stages, cans.map(|(path, can, _)| (path.trim_start_matches(CAN).into(), can)).collect()))
+    let stages = store.get::<StagesRecord>(STAGES_KEY).await?.map(|(s, _)| s).unwrap_or_default();
+    let cans = store.list::<AbilitiesRecord>(ABILITIES_PREFIX).await?.rows.into_iter();
+    Ok((stages, cans.map(|(path, can, _)| (path.trim_start_matches(ABILITIES_PREFIX).into(), can)).collect()))
 }
 
 fn told(settings: &Settings, stages: &StagesRecord, cans: &Cans) -> String {
@@ -50,7 +50,7 @@
     for ability in ABILITIES {
         let stage = stages.stage(ability);
         // Whether records of it are left only its leader knows; they are taken to be.
-        let comes = match next_transition(ability, stages, &members, cans, &settings.wish(), true) {
+        let comes = match next_transition(ability, stages, &members, cans, &settings.ability_overrides(), true) {
             Transition::Move(to, _) => format!("{} next", to.name()),
             Transition::Hold(HoldReason::Complete) => "as far as it goes".into(),
             Transition::Hold(HoldReason::Disabled) => "stays so: abilities_off".into(),
@@ -162,7 +162,7 @@
 
     #[test]
     fn stages_are_told_with_what_holds_them_back() {
-        let settings = copperhaven_core::for_tests::sample();
+        let settings = copperhaven_core::for_tests::sample_settings();
         let can = |m: &str| (m.to_string(), AbilitiesRecord::for_release(2));
         let born = StagesRecord { born_with_stages: true, ..StagesRecord::default() };
         let written = born.with_stage("packs", copperhaven_rollout::Stage::Written, 4, vec![]);
--- a/crates/controller/src/cloud.rs
+++ b/crates/controller/src/cloud.rs
@@ -48,7 +48,7 @@
             hearths: Vec<String>,
         }
         let ask =
-            Ask { hire: name, berth: &r.berth, yard: &r.yard, loaners: r.spot, number: r.number };
+            Ask { hire: name, berth: &r.machine_type, yard: &r.zone, loaners: r.spot, number: r.count };
         let a = self.http.post(&self.addr, "/hosts", &ask, LIMIT).await?;
         let lost = |why: &str| Err(CallError::Lost(why.into()));
         match a.status {
--- a/crates/controller/src/cluster/mod.rs
+++ b/crates/controller/src/cluster/mod.rs
@@ -76,7 +76,7 @@
 
 impl Cluster {
     pub fn new(settings: &copperhaven_core::settings::Settings) -> Cluster {
-        let mut members: Vec<String> = settings.members.iter().map(|m| m.member.clone()).collect();
+        let mut members: Vec<String> = settings.members.iter().map(|m| m.name.clone()).collect();
         members.push(settings.member.clone());
         members.sort();
         members.dedup();
@@ -84,11 +84,11 @@
         let links = settings
             .members
             .iter()
-            .filter(|m| m.member != settings.member)
+            .filter(|m| m.name != settings.member)
             .map(|m| {
                 Arc::new(Link {
-                    member: m.member.clone(),
-                    ix: find(&m.member),
+                    member: m.name.clone(),
+                    ix: find(&m.name),
                     addr: m.endpoint.clone(),
                     view: Mutex::default(),
                     queue: Mutex::default(),
--- a/crates/controller/src/dealings.rs
+++ b/crates/controller/src/dealings.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Node;
 use crate::store::Outcome;
-use copperhaven_core::pace::Pace;
+use copperhaven_core::pace::RateLimiter;
 use copperhaven_core::records::{
-    Change, Cond, LEADER, PROVIDED, ProvidedRecord, Record, RentalRecord,
+    Change, Condition, LEADER_KEY, PROVIDED_KEY, ProvidedRecord, Record, RentalRecord,
 };
 use copperhaven_core::state::names::*;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
     let hosts = node.cloud.list().await?;
     let now = node.now();
     let (machines, stamp) = node.with_cell(term, |c, _| {
-        c.listed(&hosts, now);
-        (c.provided(&hosts), c.write_queue.leader_condition.stamp)
+        c.on_machine_list(&hosts, now);
+        (c.count_provided(&hosts), c.write_queue.leader_condition.revision)
     })?;
-    let when = [Cond { path: LEADER.into(), stamp }, Cond { path: PROVIDED.into(), stamp: 0 }];
+    let when = [Condition { path: LEADER_KEY.into(), revision: stamp }, Condition { path: PROVIDED_KEY.into(), revision: 0 }];
     let v = Record::Provided(ProvidedRecord { machines });
-    let apply = [Change::Put { put: PROVIDED.into(), v, charter: None }];
+    let apply = [Change::Put { path: PROVIDED_KEY.into(), value: v, lease_id: None }];
     match node.store.commit(&when, &apply).await {
         Outcome::Applied(_) => Some(machines),
         // An earlier try without an answer may have been applied.
-        _ => Some(node.store.get::<ProvidedRecord>(PROVIDED).await.ok()??.0.machines),
+        _ => Some(node.store.get::<ProvidedRecord>(PROVIDED_KEY).await.ok()??.0.machines),
     }
 }
 
@@ -34,11 +34,11 @@
     let now = node.now();
     match answer {
         Ok(hearths) => {
-            node.with_cell(term, |c, _| c.rented(&name, hearths, now));
+            node.with_cell(term, |c, _| c.on_rented(&name, hearths, now));
         }
         Err(e) => {
             tracing::debug!("rental {name}: {e}");
-            node.with_cell(term, |c, _| c.rental_unanswered(&name, now));
+            node.with_cell(term, |c, _| c.on_rental_unanswered(&name, now));
         }
     }
     node.kick();
@@ -46,7 +46,7 @@
 
 async fn give_back(node: Arc<Node>, term: u64, names: Vec<String>) {
     if node.cloud.give_back(&names).await {
-        node.with_cell(term, |c, _| c.returned(&names));
+        node.with_cell(term, |c, _| c.on_returned(&names));
         node.kick();
     }
 }
@@ -54,7 +54,7 @@
 async fn take_list(node: Arc<Node>, term: u64) {
     if let Some(hosts) = node.cloud.list().await {
         let now = node.now();
-        node.with_cell(term, |c, _| c.listed(&hosts, now));
+        node.with_cell(term, |c, _| c.on_machine_list(&hosts, now));
         node.kick();
     }
 }
@@ -70,7 +70,7 @@
 /// rentals, several at once; dropped with the term, which any answer that comes later is held
 /// against.
 pub async fn run(node: Arc<Node>, term: u64) {
-    let mut pace = Pace::new(node.settings.deployment.cloud.rps, node.now());
+    let mut pace = RateLimiter::new(node.settings.deployment.cloud.rps, node.now());
     let mut rentals = tokio::task::JoinSet::new();
     let (mut returning, mut listing) = (tokio::task::JoinSet::new(), tokio::task::JoinSet::new());
     let (mut listed, mut planned, mut plan_gap) = (0u64, 0u64, PLAN_MS);
@@ -82,7 +82,7 @@
         while returning.try_join_next().is_some() {}
         while listing.try_join_next().is_some() {}
         if node.with_cell(term, |c, lead| lead && c.fleet.provided_machines.is_none()) == Some(true) {
-            if pace.take()
+            if pace.try_take()
                 && let Some(n) = survey(&node, term).await
             {
                 tracing::info!("{n} machines are provided");
@@ -90,7 +90,7 @@
             }
             continue;
         }
-        let (idle, left) = (returning.is_empty(), pace.left());
+        let (idle, left) = (returning.is_empty(), pace.available());
         let reached = node.reached_zones(now);
         let plan = node.with_cell(term, |c, lead| {
             if !lead || left == 0 {
@@ -99,17 +99,17 @@
             if now < planned + plan_gap {
                 let back = if idle { c.due_returns() } else { vec![] };
                 let most = left - usize::from(!back.is_empty());
-                return (back, c.due_rentals(now, most));
+                return (back, c.take_due_rentals(now, most));
             }
             planned = now;
             c.plan_returns(now);
             let zones: Vec<ZoneId> = reached.iter().filter_map(|z| c.names.zones.get(z)).collect();
-            c.watch_zones(&zones, now);
-            c.watch_boots(now);
+            c.update_silent_zones(&zones, now);
+            c.log_overdue_boots(now);
             c.plan_rentals(now);
             let back = if idle { c.due_returns() } else { vec![] };
             let most = left - usize::from(!back.is_empty());
-            (back, c.due_rentals(now, most))
+            (back, c.take_due_rentals(now, most))
         });
         let Some((back, rent_now)) = plan else { return };
         if planned == now {
@@ -117,14 +117,14 @@
             plan_gap = ((node.now() - now) * 8).clamp(PLAN_MS, 8 * PLAN_MS);
         }
         node.kick();
-        if !back.is_empty() && pace.take() {
+        if !back.is_empty() && pace.try_take() {
             returning.spawn(give_back(node.clone(), term, back));
         }
         for (name, record) in rent_now {
-            pace.take();
+            pace.try_take();
             rentals.spawn(rent(node.clone(), term, name, record));
         }
-        if now > listed + LIST_MS && listing.is_empty() && pace.take() {
+        if now > listed + LIST_MS && listing.is_empty() && pace.try_take() {
             listed = now;
             listing.spawn(take_list(node.clone(), term));
         }
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -161,7 +161,7 @@
 }
 
 pub async fn run(node: Arc<Node>) -> Result<(), DoorError> {
-    let inner = listen(&node.settings.front, "front", PATIENCE).await?;
+    let inner = listen(&node.settings.api_listen, "front", PATIENCE).await?;
     let inner = TcpAcceptor::from_tokio(inner)?;
     // Some sockets are left for the state service, the cloud, the workers and the peers.
     let most = node.settings.deployment.limits.max_connections;
--- a/crates/controller/src/leadership/commits.rs
+++ b/crates/controller/src/leadership/commits.rs
@@ -3,7 +3,7 @@
 use crate::leadership::ms;
 use crate::node::Node;
 use crate::store::{Outcome, StoreError};
-use copperhaven_core::caution::Caution;
+use copperhaven_core::caution::CommitThrottle;
 use copperhaven_core::records::*;
 use serde::de::IgnoredAny;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
     let limits = &node.settings.deployment.state;
     let most = (limits.write_rps() * 0.5).max(4.0);
     let (mut tokens, mut at) = (most, node.now());
-    let mut caution = Caution::new(limits.txn_ops());
+    let mut caution = CommitThrottle::new(limits.txn_ops());
     loop {
         let now = node.now();
-        let rate = limits.write_rps() * 0.95 * caution.pace;
+        let rate = limits.write_rps() * 0.95 * caution.rate_factor;
         tokens = (tokens + rate * (now - at) as f64 / 1000.0).min(most);
         at = now;
         if tokens < 2.0 {
@@ -31,7 +31,7 @@
         // What users wait for finds changes left when others have used up the rest.
         let reserve = (limits.write_rps() * RESERVE_S) as usize;
         let spare = (tokens as usize).saturating_sub(reserve);
-        let ops = (tokens as usize).min(caution.ops);
+        let ops = (tokens as usize).min(caution.max_ops);
         // The others go several at a time: transactions cost processor time.
         let users = node.with_cell(term, |c, _| c.write_queue.has_user_facing_writes());
         if users == Some(false) && spare < 4 {
@@ -39,7 +39,7 @@
             continue;
         }
         let reserve = ops.saturating_sub(spare);
-        let batch = node.with_cell(term, |c, _| c.batch_with_reserve(ops, reserve));
+        let batch = node.with_cell(term, |c, _| c.next_batch_with_reserve(ops, reserve));
         let Some(batch) = batch else { return "superseded" };
         let Some(batch) = batch else {
             let more = node.with_cell(term, |c, _| c.write_queue.dirty_count() > c.write_queue.held_back_count());
@@ -61,12 +61,12 @@
         });
         match outcome {
             Outcome::Applied(rev) => {
-                caution.applied();
+                caution.on_applied();
                 let now = node.now();
                 let direct = node.with_cell(term, |c, _| {
-                    c.applied(&batch, rev);
-                    c.write_queue.one_record_per_batch = caution.alone > 0;
-                    c.follow(now);
+                    c.on_applied(&batch, rev);
+                    c.write_queue.one_record_per_batch = caution.single_record_txns > 0;
+                    c.propagate_dependencies(now);
                     std::mem::take(&mut c.direct_requests)
                 });
                 node.send_directly(term, direct.unwrap_or_default());
@@ -74,7 +74,7 @@
             }
             Outcome::Conflict(keys) => {
                 node.with_cell(term, |c, _| c.write_queue.batch_not_executed(&batch));
-                if keys.iter().any(|k| k == LEADER) {
+                if keys.iter().any(|k| k == LEADER_KEY) {
                     return "the leader key is another's";
                 }
                 // An earlier transaction of unknown outcome was applied after all: take the
@@ -84,19 +84,19 @@
                         match node.store.get::<FinalRecord>(&key).await {
                             Ok(seen) => {
                                 let (last, stamp) = seen.unzip();
-                                node.with_cell(term, |c, _| c.read_back(&key, stamp, last));
+                                node.with_cell(term, |c, _| c.on_condition_failed(&key, stamp, last));
                             }
                             // Or the same transaction would be tried for ever, and no other.
                             Err(e @ StoreError::Unreadable { .. }) => {
                                 node.note_unreadable(&e);
                                 let uid = key.trim_start_matches("f/");
-                                node.with_cell(term, |c, _| c.end_unreadable(uid));
+                                node.with_cell(term, |c, _| c.abandon_unreadable_job(uid));
                             }
                             Err(_) => {}
                         }
                     } else if let Ok(seen) = node.store.get::<IgnoredAny>(&key).await {
                         let stamp = seen.map(|(_, stamp)| stamp);
-                        node.with_cell(term, |c, _| c.read_back(&key, stamp, None));
+                        node.with_cell(term, |c, _| c.on_condition_failed(&key, stamp, None));
                     }
                 }
                 node.bump();
@@ -105,16 +105,16 @@
             Outcome::Malformed => {
                 // One record that can't be written must not keep all others from it.
                 node.with_cell(term, |c, _| {
-                    let sole = c.malformed(&batch);
-                    caution.malformed(&batch, sole);
-                    c.write_queue.one_record_per_batch = caution.alone > 0;
+                    let sole = c.on_malformed(&batch);
+                    caution.on_malformed(&batch, sole);
+                    c.write_queue.one_record_per_batch = caution.single_record_txns > 0;
                 });
                 node.bump();
                 sleep(ms(100)).await;
             }
             Outcome::TooMany => {
                 tracing::warn!("the state service refuses {} changes: too many", batch.changes.len());
-                caution.pace = (caution.pace * 0.8).max(0.2);
+                caution.rate_factor = (caution.rate_factor * 0.8).max(0.2);
                 node.with_cell(term, |c, _| {
                     c.write_queue.batch_not_executed(&batch);
                     c.write_queue.commit_stats.refused_too_many += 1;
--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -16,13 +16,13 @@
     // Side by side: from the election on nobody but this leader changes them, and it does not yet.
     let (jobs, done, machines, packs, rentals, links, service, provided, stages) = tokio::join!(
         store.list::<JobRecord>("j/"),
-        store.list::<DoneRecord>("d/"),
+        store.list::<DoneTasksRecord>("d/"),
         store.list::<MachineRecord>("m/"),
         store.list::<PackRecord>("p/"),
         store.list::<RentalRecord>("r/"),
-        store.list::<LinksRecord>("a/"),
-        store.list::<ServiceRecord>(SERVICE),
-        store.get::<ProvidedRecord>(PROVIDED),
+        store.list::<DependenciesRecord>("a/"),
+        store.list::<FairnessRecord>(FAIRNESS_PREFIX),
+        store.get::<ProvidedRecord>(PROVIDED_KEY),
         stages::read(node),
     );
     let packed = stages?.0.stage(PACKS) == Stage::Written;
@@ -48,7 +48,7 @@
     };
     let bad = [jobs.bad, done.bad, machines.bad, packs.bad, rentals.bad, links.bad].concat();
     let Some((names, flavors)) = node.known_flavors() else { return Err(StoreError::Malformed) };
-    let leader = Cond { path: LEADER.into(), stamp };
+    let leader = Condition { path: LEADER_KEY.into(), revision: stamp };
     let now = node.now();
     let mut cell = LeaderState::new(node.settings.clone(), term, leader, now, names, flavors);
     cell.recovery.set_started_at(begun);
@@ -57,11 +57,11 @@
         done: done.rows,
         machines: machines.rows,
         packs: packs.rows,
-        packed,
+        packs_enabled: packed,
         rentals: rentals.rows,
-        links: links.rows,
+        dependency_lists: links.rows,
         service,
-        bad,
+        unreadable: bad,
     };
     rebuild(&mut cell, read, now, Node::wall_ms());
     cell.fleet.provided_machines = provided;
@@ -100,9 +100,9 @@
             node.with_cell(term, |c, _| {
                 c.dependencies.resolve_outcome(uid, seen.map(|(last, _)| last.done));
                 if unreadable {
-                    c.doubt(uid);
+                    c.mark_outcome_unknown(uid);
                 }
-                c.follow(now);
+                c.propagate_dependencies(now);
             });
         }
         sleep(ms(pause)).await;
@@ -113,23 +113,23 @@
 /// depends on the outcome.
 pub(super) async fn record_flavors(node: &Node, stamp: u64) {
     let Some(berths) = node.state.lock().expect("lock").flavors.clone() else { return };
-    let seen = match node.store.get::<FlavorsRecord>(FLAVORS).await {
+    let seen = match node.store.get::<FlavorsRecord>(MACHINE_TYPES_KEY).await {
         Ok(seen) => seen,
         Err(e) => return node.note_unreadable(&e),
     };
-    if seen.as_ref().is_some_and(|(r, _)| r.berths == berths) {
+    if seen.as_ref().is_some_and(|(r, _)| r.machine_types == berths) {
         return;
     }
     let when = [
-        Cond { path: LEADER.into(), stamp },
-        Cond { path: FLAVORS.into(), stamp: seen.map_or(0, |(_, s)| s) },
+        Condition { path: LEADER_KEY.into(), revision: stamp },
+        Condition { path: MACHINE_TYPES_KEY.into(), revision: seen.map_or(0, |(_, s)| s) },
     ];
-    let v = Record::Flavors(FlavorsRecord { berths });
-    let (bytes, most) = (v.bytes(), node.settings.deployment.state.value_bytes());
+    let v = Record::Flavors(FlavorsRecord { machine_types: berths });
+    let (bytes, most) = (v.encoded_len(), node.settings.deployment.state.max_value_bytes());
     if bytes > most {
         tracing::warn!("the machine types take {bytes} bytes, a value {most}: not recorded");
         return;
     }
-    let apply = [Change::Put { put: FLAVORS.into(), v, charter: None }];
+    let apply = [Change::Put { path: MACHINE_TYPES_KEY.into(), value: v, lease_id: None }];
     node.store.commit(&when, &apply).await;
 }
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -40,11 +40,11 @@
             // are at hand at once, also when the cloud is in trouble. They are brought up to date
             // beside.
             let sent = node.now();
-            let recorded = node.store.get::<FlavorsRecord>(FLAVORS).await;
+            let recorded = node.store.get::<FlavorsRecord>(MACHINE_TYPES_KEY).await;
             node.state_asked(sent, recorded.is_ok());
             node.state_service(recorded.as_ref().err());
             if let Ok(Some((r, _))) = recorded {
-                node.state.lock().expect("lock").flavors = Some(r.berths);
+                node.state.lock().expect("lock").flavors = Some(r.machine_types);
                 let node = node.clone();
                 tokio::spawn(async move { refresh_flavors(&node).await });
             } else if !refresh_flavors(&node).await {
@@ -53,7 +53,7 @@
             continue;
         }
         let sent = node.now();
-        let leader = node.store.leased::<LeaderRecord>(LEADER).await;
+        let leader = node.store.leased::<LeaderRecord>(LEADER_KEY).await;
         node.state_asked(sent, leader.is_ok());
         node.state_service(leader.as_ref().err());
         match leader {
@@ -107,7 +107,7 @@
             told = wait;
         }
         sleep(ms(left.min(400))).await;
-        if !matches!(node.store.get::<LeaderRecord>(LEADER).await, Ok(None)) {
+        if !matches!(node.store.get::<LeaderRecord>(LEADER_KEY).await, Ok(None)) {
             return false;
         }
     }
@@ -136,7 +136,7 @@
 /// (0: there is none). An unknown outcome is read back.
 async fn elect(node: &Node, over: u64, returns: u64) -> Option<Won> {
     let ttl = node.settings.tuning.leader_lease_ms;
-    let (read, stages) = tokio::join!(node.store.get::<TermRecord>(TERM), stages::read(node));
+    let (read, stages) = tokio::join!(node.store.get::<TermRecord>(TERM_KEY), stages::read(node));
     // What it doesn't know of the stored state it would not see.
     let (mut stages, stages_stamp) = match stages {
         Ok(stages) => stages,
@@ -166,29 +166,29 @@
         member: node.settings.member.clone(),
         term,
         nonce: rand::random(),
-        seat: node.seat().map(Into::into),
-        at: Node::wall_ms(),
-        returns,
+        listen_addr: node.seat().map(Into::into),
+        elected_at_ms: Node::wall_ms(),
+        restarts: returns,
     };
     let mut when = vec![
-        Cond { path: TERM.into(), stamp: term_stamp },
-        Cond { path: LEADER.into(), stamp: over },
+        Condition { path: TERM_KEY.into(), revision: term_stamp },
+        Condition { path: LEADER_KEY.into(), revision: over },
     ];
-    let put = |put: &str, v: Record, charter| Change::Put { put: put.into(), v, charter };
+    let put = |put: &str, v: Record, charter| Change::Put { path: put.into(), value: v, lease_id: charter };
     let mut apply = vec![
-        put(TERM, Record::term(term, &stages), None),
-        put(LEADER, Record::Leader(record.clone()), Some(lease)),
+        put(TERM_KEY, Record::term(term, &stages), None),
+        put(LEADER_KEY, Record::Leader(record.clone()), Some(lease)),
     ];
     if term_stamp == 0 && stages_stamp == 0 {
         // The very first leader: no older release ever wrote here.
         stages.born_with_stages = true;
-        when.push(Cond { path: STAGES.into(), stamp: 0 });
-        apply.push(put(STAGES, Record::Stages(stages), None));
+        when.push(Condition { path: STAGES_KEY.into(), revision: 0 });
+        apply.push(put(STAGES_KEY, Record::Stages(stages), None));
     }
     match node.store.commit(&when, &apply).await {
         Outcome::Applied(stamp) => return Some(Won { term, stamp, lease, sent }),
         Outcome::Unknown => {
-            if let Ok(Some((seen, stamp))) = node.store.get::<LeaderRecord>(LEADER).await
+            if let Ok(Some((seen, stamp))) = node.store.get::<LeaderRecord>(LEADER_KEY).await
                 && seen == record
             {
                 return Some(Won { term, stamp, lease, sent });
@@ -247,7 +247,7 @@
         if top > term {
             return "a newer term was seen";
         }
-        if node.now() > renewed + node.settings.holding_ms() {
+        if node.now() > renewed + node.settings.renewal_grace_ms() {
             return "the state service was out of reach for too long";
         }
         sleep(ms(if failing { 150 } else { ttl / 4 })).await;
--- a/crates/controller/src/leadership/probes.rs
+++ b/crates/controller/src/leadership/probes.rs
@@ -26,9 +26,9 @@
                 let own = node.store.some::<MachineRecord>("m/", SOME).await;
                 let packs = node.store.some::<PackRecord>("p/", SOME / 4).await;
                 if let (Ok(own), Ok(packs)) = (own, packs) {
-                    let packed = packs.iter().flat_map(|p| p.packed.values());
+                    let packed = packs.iter().flat_map(|p| p.machines.values());
                     let all = own.iter().chain(packed);
-                    node.know_workers(all.map(|m| (m.addr.as_str(), m.yard.as_str())));
+                    node.know_workers(all.map(|m| (m.addr.as_str(), m.zone.as_str())));
                 }
                 sleep(ms(PAUSE_MS)).await;
                 continue;
--- a/crates/controller/src/leadership/returns.rs
+++ b/crates/controller/src/leadership/returns.rs
@@ -9,8 +9,8 @@
 
 /// What this process makes of the leader's key, which is under its own name or another's.
 pub(super) fn verdict(node: &Node, record: &LeaderRecord, first: bool) -> KeyDecision {
-    let (seat, member) = (record.seat.as_deref(), record.member.as_str());
-    let held = LeaderKey { member, listen_addr: seat, elected_at_ms: record.at, restarts: record.returns };
+    let (seat, member) = (record.listen_addr.as_deref(), record.member.as_str());
+    let held = LeaderKey { member, listen_addr: seat, elected_at_ms: record.elected_at_ms, restarts: record.restarts };
     returns::decide(held, &node.settings.member, node.seat(), first, Node::wall_ms())
 }
 
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -12,13 +12,13 @@
 
 /// The stages on record, and their version.
 pub(super) async fn read(node: &Node) -> Result<(StagesRecord, u64), StoreError> {
-    Ok(node.store.get::<StagesRecord>(STAGES).await?.unwrap_or_default())
+    Ok(node.store.get::<StagesRecord>(STAGES_KEY).await?.unwrap_or_default())
 }
 
 /// Records what this process can, until that is done. Others count it only by this record.
 pub(super) async fn record_own(node: &Node) {
     let own = AbilitiesRecord::for_release(RELEASE);
-    let path = format!("{CAN}{}", node.settings.member);
+    let path = format!("{ABILITIES_PREFIX}{}", node.settings.member);
     loop {
         let seen = match node.store.get::<AbilitiesRecord>(&path).await {
             Ok(seen) => seen,
@@ -34,9 +34,9 @@
         if seen.as_ref().is_some_and(|(can, _)| *can == own) {
             return;
         }
-        let when = [Cond { path: path.clone(), stamp: seen.map_or(0, |(_, s)| s) }];
+        let when = [Condition { path: path.clone(), revision: seen.map_or(0, |(_, s)| s) }];
         let v = Record::Can(own.clone());
-        let apply = [Change::Put { put: path.clone(), v, charter: None }];
+        let apply = [Change::Put { path: path.clone(), value: v, lease_id: None }];
         if let Outcome::Applied(_) = node.store.commit(&when, &apply).await {
             return;
         }
@@ -47,7 +47,7 @@
 /// As leader: moves stages when all can, or operators want them back. Ends with the term.
 pub(super) async fn run(node: &Node, term: u64, leader: u64) -> &'static str {
     let members: Vec<String> = node.settings.member_names().map(String::from).collect();
-    let wish = node.settings.wish();
+    let wish = node.settings.ability_overrides();
     let mut told = None;
     loop {
         sleep(ms(1000)).await;
@@ -69,10 +69,10 @@
         if switched == Some(true) {
             tracing::info!("lists of machines are written in packs: {written}");
         }
-        let Ok(cans) = node.store.list::<AbilitiesRecord>(CAN).await else { continue };
+        let Ok(cans) = node.store.list::<AbilitiesRecord>(ABILITIES_PREFIX).await else { continue };
         let stamps: BTreeMap<&str, u64> =
             cans.rows.iter().map(|(path, _, s)| (path.as_str(), *s)).collect();
-        let name = |path: &String| path.trim_start_matches(CAN).to_string();
+        let name = |path: &String| path.trim_start_matches(ABILITIES_PREFIX).to_string();
         let by_name = cans.rows.iter().map(|(path, can, _)| (name(path), can.clone())).collect();
         let (stage, counted) = match next_transition(PACKS, &stages, &members, &by_name, &wish, left) {
             Transition::Move(stage, counted) => (stage, counted),
@@ -90,19 +90,19 @@
             }
         };
         let next = stages.with_stage(PACKS, stage, term, counted.clone());
-        let Ok(Some((_, term_stamp))) = node.store.get::<TermRecord>(TERM).await else { continue };
+        let Ok(Some((_, term_stamp))) = node.store.get::<TermRecord>(TERM_KEY).await else { continue };
         let mut when = vec![
-            Cond { path: LEADER.into(), stamp: leader },
-            Cond { path: STAGES.into(), stamp },
-            Cond { path: TERM.into(), stamp: term_stamp },
+            Condition { path: LEADER_KEY.into(), revision: leader },
+            Condition { path: STAGES_KEY.into(), revision: stamp },
+            Condition { path: TERM_KEY.into(), revision: term_stamp },
         ];
         for member in &counted {
-            let path = format!("{CAN}{member}");
+            let path = format!("{ABILITIES_PREFIX}{member}");
             let stamp = stamps.get(path.as_str()).copied().unwrap_or(0);
-            when.push(Cond { path, stamp });
+            when.push(Condition { path, revision: stamp });
         }
-        let put = |put: &str, v: Record| Change::Put { put: put.into(), v, charter: None };
-        let apply = [put(TERM, Record::term(term, &next)), put(STAGES, Record::Stages(next))];
+        let put = |put: &str, v: Record| Change::Put { path: put.into(), value: v, lease_id: None };
+        let apply = [put(TERM_KEY, Record::term(term, &next)), put(STAGES_KEY, Record::Stages(next))];
         // Whatever came of it is read back.
         if let Outcome::Applied(_) = node.store.commit(&when, &apply).await {
             let who = if counted.is_empty() { "nobody".into() } else { counted.join(", ") };
--- a/crates/controller/src/leadership/sweep.rs
+++ b/crates/controller/src/leadership/sweep.rs
@@ -24,7 +24,7 @@
         let Ok((uids, more)) = node.store.names("j/", since.as_deref()).await else { continue };
         since = uids.last().cloned().filter(|_| more);
         let suspects = node.with_cell(term, |c, _| {
-            c.nowhere(uids.iter().map(|path| path.trim_start_matches("j/")))
+            c.untracked_jobs(uids.iter().map(|path| path.trim_start_matches("j/")))
         });
         for uid in suspects.unwrap_or_default() {
             if lost(node, term, &uid).await {
@@ -43,6 +43,6 @@
 /// Is it still so, when looked at alone? It may have been over, or accepted, in between.
 async fn lost(node: &Node, term: u64, uid: &str) -> bool {
     let open = node.store.get::<JobRecord>(&format!("j/{uid}")).await;
-    let unknown = node.with_cell(term, |c, lead| lead && !c.nowhere([uid].into_iter()).is_empty());
+    let unknown = node.with_cell(term, |c, lead| lead && !c.untracked_jobs([uid].into_iter()).is_empty());
     matches!(open, Ok(Some(_))) && unknown == Some(true)
 }
--- a/crates/controller/src/leadership/tests.rs
+++ b/crates/controller/src/leadership/tests.rs
@@ -3,7 +3,7 @@
 use super::load::load;
 use super::*;
 use crate::store::StoreError;
-use copperhaven_core::for_tests::{record, sample};
+use copperhaven_core::for_tests::{job_record, sample_settings};
 use copperhaven_rollout::StagesRecord;
 use copperhaven_wire::encode;
 use serde_json::{Value, json};
@@ -47,7 +47,7 @@
     /// A node whose state service this is; served as long as the returned task lives.
     async fn node(self: Arc<Self>) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let mut settings = sample();
+        let mut settings = sample_settings();
         settings.endpoints.state = listener.local_addr().expect("bound").to_string();
         tokio::spawn(async move {
             while let Ok((mut io, _)) = listener.accept().await {
@@ -96,10 +96,10 @@
     ];
     for (v, won) in cases {
         run(async {
-            let service = stand_in(&[(TERM, v.clone())]);
+            let service = stand_in(&[(TERM_KEY, v.clone())]);
             let node = service.clone().node().await;
             assert_eq!(elect(&node, 0, 0).await.map(|won| won.term), won, "{v}");
-            let named = node.state.lock().expect("lock").unreadable.contains(TERM);
+            let named = node.state.lock().expect("lock").unreadable.contains(TERM_KEY);
             assert_eq!(named, won.is_none(), "{v}");
             let wrote = service.asked.lock().expect("lock").iter().any(|a| a == "POST /commit");
             assert_eq!(wrote, won.is_some(), "{v}: nothing is written without it");
@@ -130,7 +130,7 @@
     ];
     for (stages, term, won, readable) in cases {
         run(async {
-            let service = stand_in(&[(STAGES, stages.clone()), (TERM, term.clone())]);
+            let service = stand_in(&[(STAGES_KEY, stages.clone()), (TERM_KEY, term.clone())]);
             let node = service.clone().node().await;
             assert_eq!(elect(&node, 0, 0).await.map(|won| won.term), won, "{stages}");
             let wrote = service.asked.lock().expect("lock").iter().any(|a| a == "POST /commit");
@@ -149,7 +149,7 @@
 #[test]
 fn a_takeover_reads_all_that_can_be_read_and_names_the_rest() {
     run(async {
-        let good = serde_json::to_value(record("wk-1")).expect("JSON");
+        let good = serde_json::to_value(job_record("wk-1")).expect("JSON");
         let service = stand_in(&[
             ("j/wk-1", good),
             ("j/wk-2", json!({"job": 1})),
@@ -157,7 +157,7 @@
             ("m/n-1", json!("gone")),
             ("r/r-1-1", json!({})),
             ("a/wk-3/0", json!(null)),
-            (PROVIDED, json!({"machines": -1})),
+            (PROVIDED_KEY, json!({"machines": -1})),
         ]);
         let node = service.node().await;
         load(&node, 1, 5).await.expect("it leads all the same");
@@ -171,7 +171,7 @@
             assert!(cell.unreadable.is_write_protected(path), "{path}");
         }
         assert_eq!(cell.fleet.provided_machines, Some(0), "nothing is kept up without work");
-        assert!(state.unreadable.contains(PROVIDED));
+        assert!(state.unreadable.contains(PROVIDED_KEY));
     });
 }
 
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -54,15 +54,15 @@
         let direct = node.with_cell(term, |c, _| {
             c.timer_lag = lag;
             tell_recovery(c, now);
-            c.move_lists(MOVED);
-            c.expire(now);
-            c.follow(now);
+            c.migrate_machines_to_packs(MOVED);
+            c.expire_leases(now);
+            c.propagate_dependencies(now);
             if beat.is_multiple_of(5) {
                 c.placement_pending = true;
             }
             if beat.is_multiple_of(20) {
-                c.spot_slow(now);
-                c.judge(now);
+                c.quarantine_slow_machines(now);
+                c.reassess_failing_jobs(now);
             }
             if beat.is_multiple_of(RECORD_BEATS) {
                 c.record_fairness();
@@ -128,7 +128,7 @@
         over = c.recovery.phase() == Phase::Serving;
     }
     if over {
-        c.close_squaring();
+        c.close_reconciliation();
         tracing::info!("recovery: over, tasks: {}", c.reconciliation.summary());
     }
 }
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -108,7 +108,7 @@
 
 fn check(files: &Files) -> Result<(), ExitCode> {
     let settings = load(files)?;
-    if let Some(remark) = settings.remarks() {
+    if let Some(remark) = settings.warnings() {
         println!("{remark}");
     }
     println!("settings of {} are valid", settings.member);
@@ -137,7 +137,7 @@
 fn serve(files: &Files, format: LogFormat) -> Result<(), ExitCode> {
     log_to_stderr(format);
     let settings = load(files)?;
-    if let Some(remark) = settings.remarks() {
+    if let Some(remark) = settings.warnings() {
         tracing::warn!("{remark}");
     }
     let runtime = runtime()?;
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -2,7 +2,7 @@
 //! They are gathered when asked for, so that nobody pays for them in between.
 
 use crate::node::Node;
-use copperhaven_core::admission::index::{ln_meet, nu};
+use copperhaven_core::admission::index::{ln_meet_probability, miss_probability};
 use copperhaven_core::state::job::Job;
 use copperhaven_core::state::machine::Machine;
 use copperhaven_core::state::names::{TeamId, TypeId};
@@ -142,7 +142,7 @@
         }
         let heard = c.machines.values().map(|m| m.last_report_at).max().unwrap_or(now);
         silent.get_or_create(&none).set(now.saturating_sub(heard) as f64 / 1000.0);
-        let overdue = c.overdue(now).0.len();
+        let overdue = c.overdue_boots(now).0.len();
         for (state, n) in [("all", c.fleet.booting.len()), ("overdue", overdue)] {
             boots.get_or_create(&vec![("state", state.into())]).set(n as f64);
         }
@@ -160,8 +160,8 @@
                 };
                 let m = c.machines.values().filter(here).count() as f64 * flavor.cpus;
                 waiting.get_or_create(&labels).set(f64::from(x));
-                let value = ln_meet(m, f64::from(x), 1.0 / 60.0, 1.0 / span);
-                index.get_or_create(&labels).set(nu(value));
+                let value = ln_meet_probability(m, f64::from(x), 1.0 / 60.0, 1.0 / span);
+                index.get_or_create(&labels).set(miss_probability(value));
             }
         }
         for (t, team) in c.settings.deployment.teams.iter().enumerate() {
--- a/crates/controller/src/node/directly.rs
+++ b/crates/controller/src/node/directly.rs
@@ -54,7 +54,7 @@
                 let m = d.machine.and_then(|mid| c.machines.get(&mid));
                 match (urgency, d.machine) {
                     (SendPriority::Halt, _) => true,
-                    (SendPriority::RequestReport, mid) => mid.is_some_and(|mid| c.nudge_helps(mid)),
+                    (SendPriority::RequestReport, mid) => mid.is_some_and(|mid| c.is_report_request_useful(mid)),
                     // The answer to its own report has told it by now.
                     (SendPriority::Term, _) => m.is_none_or(|m| m.last_answered_at == 0),
                 }
--- a/crates/controller/src/node/lookups.rs
+++ b/crates/controller/src/node/lookups.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::reply::Reply;
 use crate::store::StoreError;
-use copperhaven_core::pipelines::awaits::Named;
+use copperhaven_core::pipelines::awaits::DependencyState;
 use copperhaven_core::records::{FinalRecord, JobRecord};
 use std::collections::HashSet;
 
@@ -13,7 +13,7 @@
 impl Node {
     /// May a question about this job cost the state service `n` requests now? Who asked in vain goes first.
     pub(super) fn may_look_up(&self, uid: &str, n: usize) -> bool {
-        self.lookups.lock().expect("lock").may(uid, n, self.now())
+        self.lookups.lock().expect("lock").try_acquire(uid, n, self.now())
     }
 
     /// Looks an id up that is not in memory: final jobs leave it. Err: no answer.
@@ -48,10 +48,10 @@
     }
 
     /// What the records say of a job that is not in memory. Err: no certain answer now.
-    pub(super) async fn look_up(&self, term: u64, uid: &str) -> Result<Named, Reply> {
+    pub(super) async fn look_up(&self, term: u64, uid: &str) -> Result<DependencyState, Reply> {
         match self.past(term, uid).await? {
-            Some(f) if f.done => return Ok(Named::Done),
-            Some(_) => return Ok(Named::Cancelled),
+            Some(f) if f.done => return Ok(DependencyState::Done),
+            Some(_) => return Ok(DependencyState::Cancelled),
             None => {}
         }
         if !self.may_look_up(uid, 1) {
@@ -59,8 +59,8 @@
         }
         // Accepted under other settings it would be on record without being in memory.
         match self.store.get::<serde::de::IgnoredAny>(&format!("j/{uid}")).await {
-            Ok(Some(_)) => Ok(Named::Open),
-            Ok(None) if self.leading(false) => Ok(Named::Never),
+            Ok(Some(_)) => Ok(DependencyState::Open),
+            Ok(None) if self.leading(false) => Ok(DependencyState::NeverAccepted),
             _ => Err(Reply::later("no certain answer about a job that it waits for", 1)),
         }
     }
@@ -74,7 +74,7 @@
             if !asked.insert(uid.clone()) {
                 continue;
             }
-            if asked.len() > WALK || !self.lookups.lock().expect("lock").more(2, self.now()) {
+            if asked.len() > WALK || !self.lookups.lock().expect("lock").try_acquire_more(2, self.now()) {
                 return None;
             }
             // The open record first, as above.
@@ -83,11 +83,11 @@
             match (last, open) {
                 (Some((last, _)), _) if !last.done => return Some(true),
                 (None, Some((record, _))) if record.cancelled => return Some(true),
-                (None, Some((JobRecord { waits: Some(waits), .. }, _))) => {
+                (None, Some((JobRecord { dependency_wait: Some(waits), .. }, _))) => {
                     if waits.parts > 0 {
                         return None;
                     }
-                    next.extend(waits.on);
+                    next.extend(waits.dependencies);
                 }
                 _ => {}
             }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -19,8 +19,8 @@
 use crate::net::Net;
 use crate::node::doors::Doors;
 use crate::store::Store;
-use copperhaven_core::lookups::Lookups;
-use copperhaven_core::pace::Pace;
+use copperhaven_core::lookups::LookupLimiter;
+use copperhaven_core::pace::RateLimiter;
 use copperhaven_core::settings::Settings;
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
@@ -66,7 +66,7 @@
     users: Semaphore,
     questions: Semaphore,
     /// Look-ups at the state service on behalf of users.
-    lookups: Mutex<Lookups>,
+    lookups: Mutex<LookupLimiter>,
     /// Requests refused for being too many, by what was bounded; for the metrics.
     pub refused: [AtomicU64; 3],
     doors: Mutex<Doors>,
@@ -96,7 +96,7 @@
     /// A controller whose connections are made in this network.
     pub fn within(net: Net, settings: Settings) -> Node {
         let share = settings.deployment.state.rps() * LOOKUPS;
-        let pace = Pace::new(share / (settings.members.len() + 1) as f64, 0);
+        let pace = RateLimiter::new(share / (settings.members.len() + 1) as f64, 0);
         Node {
             cluster: Cluster::new(&settings),
             store: Store::new(net.clone(), settings.endpoints.state.clone()),
@@ -112,7 +112,7 @@
             dirty: Notify::new(),
             users: Semaphore::new(USERS),
             questions: Semaphore::new(QUESTIONS),
-            lookups: Mutex::new(Lookups::new(pace)),
+            lookups: Mutex::new(LookupLimiter::new(pace)),
             refused: Default::default(),
             doors: Mutex::default(),
             reached: Mutex::default(),
--- a/crates/controller/src/node/questions.rs
+++ b/crates/controller/src/node/questions.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::reply::Reply;
 use crate::store::StoreError;
-use copperhaven_core::questions::shown_final;
+use copperhaven_core::questions::final_status;
 use copperhaven_core::records::{FinalRecord, JobRecord};
 use copperhaven_wire::jobs::{self, JobStatus};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// What is known of a job in memory.
     pub(super) fn known(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
         self.with_cell(term, |c, _| {
-            if c.jobs.contains_name(uid) || c.final_records.contains(uid) { Some(c.show(uid)) } else { None }
+            if c.jobs.contains_name(uid) || c.final_records.contains(uid) { Some(c.job_status(uid)) } else { None }
         })
         .flatten()
     }
@@ -51,10 +51,10 @@
             Ok(None) if self.leading(false) && self.known(term, uid).is_none() => {
                 return self.read_both(uid).await;
             }
-            _ => self.lookups.lock().expect("lock").put_back(2),
+            _ => self.lookups.lock().expect("lock").refund(2),
         }
         match past {
-            Ok(Some(f)) => Reply::new(200, &shown_final(uid, &f)),
+            Ok(Some(f)) => Reply::new(200, &final_status(uid, &f)),
             Ok(None) => Reply::later("no certain answer", 1),
             Err(later) => later,
         }
@@ -63,7 +63,7 @@
     /// A record of it is on its way, and nobody knows here whether it is applied: what others read of it may be newer than
     /// what is in memory. Mostly that is known at once; else the record itself is asked.
     async fn show_recording(&self, term: u64, uid: &str) -> Reply {
-        let known = self.until(term, RECORDING, |c, lead| c.show(uid).filter(|_| lead));
+        let known = self.until(term, RECORDING, |c, lead| c.job_status(uid).filter(|_| lead));
         if let Some(shown) = known.await {
             return Reply::new(200, &shown);
         }
@@ -108,12 +108,12 @@
             Err(_) => return later,
         };
         match (self.store.get::<FinalRecord>(&format!("f/{uid}")).await, open) {
-            (Ok(Some((f, _))), _) => Reply::new(200, &shown_final(uid, &f)),
+            (Ok(Some((f, _))), _) => Reply::new(200, &final_status(uid, &f)),
             (Ok(None), Some((record, _))) => {
-                let cancelled = match (record.cancelled, record.waits) {
+                let cancelled = match (record.cancelled, record.dependency_wait) {
                     (true, _) => Some(true),
                     (false, None) => Some(false),
-                    (false, Some(waits)) if waits.parts == 0 => self.any_cancelled(waits.on).await,
+                    (false, Some(waits)) if waits.parts == 0 => self.any_cancelled(waits.dependencies).await,
                     _ => None,
                 };
                 let Some(cancelled) = cancelled else { return later };
@@ -139,7 +139,7 @@
             waits: Option<serde::de::IgnoredAny>,
         }
         if let Some((f, _)) = self.store.get::<FinalRecord>(&format!("f/{uid}")).await.ok()? {
-            return Some(Reply::new(200, &shown_final(uid, &f)));
+            return Some(Reply::new(200, &final_status(uid, &f)));
         }
         let status = match self.store.get::<Left>(&format!("j/{uid}")).await {
             Ok(Some((left, _))) if left.cancelled == Some(true) => "aborted",
--- a/crates/controller/src/node/reports.rs
+++ b/crates/controller/src/node/reports.rs
@@ -5,7 +5,7 @@
 use crate::node::serve::NOT_ENTITLED;
 use crate::reply::Reply;
 use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::workers::reports::Taken;
+use copperhaven_core::workers::reports::ReportOutcome;
 use copperhaven_wire::workers::Report;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -59,33 +59,33 @@
         let now = self.now();
         let taken = self.with_cell(term, |c, _| c.on_report(&report, now));
         let mid = match taken {
-            Some(Taken::Answer(mid)) => mid,
-            Some(Taken::NewerTerm(t)) => {
+            Some(ReportOutcome::Answer(mid)) => mid,
+            Some(ReportOutcome::NewerTerm(t)) => {
                 self.heard_term(t, None);
                 self.bump();
                 return Reply::later("a newer leader has been", 1);
             }
-            Some(Taken::Malformed(why)) => {
+            Some(ReportOutcome::Malformed(why)) => {
                 tracing::warn!("report of {}: {why}", report.machine);
                 return Reply::error(400, why);
             }
-            Some(Taken::Stale) => return Reply::later("an older report", 1),
+            Some(ReportOutcome::Stale) => return Reply::later("an older report", 1),
             None => return none,
         };
         // Passes are dear; reports that come in close to one another share one.
-        let pause = self.with_cell(term, |c, lead| c.pass_pause(now).filter(|_| lead)).flatten();
+        let pause = self.with_cell(term, |c, lead| c.ms_until_next_pass(now).filter(|_| lead)).flatten();
         if let Some(pause) = pause {
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
         self.place(term);
-        let ready = |c: &mut LeaderState, lead: bool| (!lead || c.orders_ready(mid)).then_some(());
+        let ready = |c: &mut LeaderState, lead: bool| (!lead || c.can_send_orders(mid)).then_some(());
         self.until(term, REPORT_LIMIT, ready).await;
         if !self.leading(true) {
             return none;
         }
         let now = self.now();
         let at = (report.session, report.sequence);
-        match self.with_cell(term, |c, lead| c.orders(mid, at, now, lead)).flatten() {
+        match self.with_cell(term, |c, lead| c.issue_orders(mid, at, now, lead)).flatten() {
             Some(orders) => Reply::new(200, &orders),
             None => Reply::later("a newer report has come in", 1),
         }
@@ -95,15 +95,15 @@
     pub fn place(&self, term: u64) {
         let begin = self.now();
         let placed = self.with_cell(term, |c, lead| {
-            let due = lead && c.pass_pause(begin) == Some(0);
+            let due = lead && c.ms_until_next_pass(begin) == Some(0);
             if due {
-                c.place(begin);
+                c.run_placement_pass(begin);
             }
             due
         });
         if placed == Some(true) {
             let took = self.now() - begin;
-            self.with_cell(term, |c, _| c.pass_took(took));
+            self.with_cell(term, |c, _| c.record_pass_duration(took));
         }
     }
 }
--- a/crates/controller/src/node/standing.rs
+++ b/crates/controller/src/node/standing.rs
@@ -17,7 +17,7 @@
 
     pub(super) fn holding(&self, state: &State, now: u64) -> bool {
         state.cell.as_ref().is_some_and(|c| c.term >= state.top_term)
-            && now < state.renewed + self.settings.holding_ms()
+            && now < state.renewed + self.settings.renewal_grace_ms()
     }
 
     pub(super) fn leading(&self, report: bool) -> bool {
@@ -127,7 +127,7 @@
 
     /// Zones of the controllers that are within reach, this one's included.
     pub fn reached_zones(&self, now: u64) -> Vec<&str> {
-        let up = |m: &&Member| self.cluster.links_to(&m.member, now);
+        let up = |m: &&Member| self.cluster.links_to(&m.name, now);
         let others = self.settings.members.iter().filter(up).map(|m| m.zone.as_str());
         others.chain([self.settings.zone.as_str()]).collect()
     }
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Node;
 use crate::reply::Reply;
-use copperhaven_core::admission::shape::admit_shape;
-use copperhaven_core::pipelines::awaits::{Awaits, Named};
-use copperhaven_core::questions::shown_final;
+use copperhaven_core::admission::shape::resolve_spec;
+use copperhaven_core::pipelines::awaits::{DependencyCheck, DependencyState};
+use copperhaven_core::questions::final_status;
 use copperhaven_core::state::served;
 use copperhaven_fairness::ledger::Refusal;
 use copperhaven_wire::jobs::{self, JobStatus};
@@ -60,7 +60,7 @@
                 // none.
                 (Taking::Refused(refusal), Some(uid)) => {
                     return match self.past(term, uid).await {
-                        Ok(Some(f)) => Reply::new(200, &shown_final(uid, &f)),
+                        Ok(Some(f)) => Reply::new(200, &final_status(uid, &f)),
                         Ok(None) if self.known(term, uid).is_none() => refusal,
                         Ok(None) => self.accepted(term, uid, 200).await,
                         Err(later) => later,
@@ -69,7 +69,7 @@
                 (Taking::Ask(own, ask), _) => {
                     if read.is_empty() {
                         match self.past(term, &own).await {
-                            Ok(Some(f)) => return Reply::new(200, &shown_final(&own, &f)),
+                            Ok(Some(f)) => return Reply::new(200, &final_status(&own, &f)),
                             Ok(None) => {}
                             Err(later) => return later,
                         }
@@ -92,7 +92,7 @@
         &self,
         term: u64,
         body: &[u8],
-        read: &HashMap<String, Named>,
+        read: &HashMap<String, DependencyState>,
     ) -> Option<Taking> {
         let mut job = match jobs::parse(body) {
             Ok(job) => job,
@@ -106,7 +106,7 @@
             }
             let settings = c.settings.clone();
             let flavors = std::mem::take(&mut c.flavors);
-            let spec = admit_shape(&job, &mut c.names, &flavors, &settings);
+            let spec = resolve_spec(&job, &mut c.names, &flavors, &settings);
             c.flavors = flavors;
             let spec = match spec {
                 Ok(spec) => spec,
@@ -131,26 +131,26 @@
             if c.record_bytes_without_dependencies(&job) + 64 > c.write_queue.value_limit {
                 return Err(Reply::error(400, "malformed: names too long to be recorded"));
             }
-            let (open, dead) = match c.look_at_awaits(&awaits, read) {
-                Awaits::Open(open) => (open, false),
-                Awaits::Cancelled => (vec![], true),
-                Awaits::Ask(ask) => return Ok(Some(ask)),
-                Awaits::Later => {
+            let (open, dead) = match c.check_dependencies(&awaits, read) {
+                DependencyCheck::Open(open) => (open, false),
+                DependencyCheck::Cancelled => (vec![], true),
+                DependencyCheck::NeedsLookup(ask) => return Ok(Some(ask)),
+                DependencyCheck::RetryLater => {
                     return Err(Reply::later("a job that it waits for is being recorded", 1));
                 }
-                Awaits::Never(other) => {
+                DependencyCheck::NeverAccepted(other) => {
                     let why = format!("can never run: {other}, which it waits for, is unknown");
                     tracing::info!("refuse {uid}: {why}");
                     return Err(Reply::error(422, &why));
                 }
-                Awaits::Service(other) => {
+                DependencyCheck::Service(other) => {
                     let why = format!("can never run: {other}, which it waits for, is a service");
                     tracing::info!("refuse {uid}: {why}");
                     return Err(Reply::error(422, &why));
                 }
             };
-            let wait = c.expected_wait(&open, now);
-            let routed = match c.admit_after(&spec, wait, now) {
+            let wait = c.expected_wait_s(&open, now);
+            let routed = match c.admit_after_wait(&spec, wait, now) {
                 // Cancelled with what it waits for, it needs no room.
                 Err(_) if dead => vec![0; c.pool_count()],
                 Ok(routed) => routed,
@@ -173,7 +173,7 @@
                 spec.image_gb,
                 spec.deadline_s,
             );
-            let id = c.take_in(spec, job, (open, dead), Self::wall_ms(), now);
+            let id = c.add_submitted_job(spec, job, (open, dead), Self::wall_ms(), now);
             if let Some(j) = c.jobs.get_mut(&id)
                 && j.pending_dependencies.is_empty()
                 && j.is_open()
@@ -191,7 +191,7 @@
 
     /// Answers once the job's record is safe.
     pub(super) async fn accepted(&self, term: u64, uid: &str, status: u16) -> Reply {
-        match self.until(term, USER_LIMIT, |c, lead| c.show(uid).filter(|_| lead)).await {
+        match self.until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|_| lead)).await {
             // Known after all, and over: not created by this request.
             Some(shown) if shown.status == "done" || shown.status == "aborted" => {
                 Reply::new(200, &shown)
@@ -222,7 +222,7 @@
         }
         self.kick();
         let over = |s: &JobStatus| s.status == "aborted" || s.status == "done";
-        let shown = self.until(term, USER_LIMIT, |c, lead| c.show(uid).filter(|s| lead && over(s)));
+        let shown = self.until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|s| lead && over(s)));
         match shown.await {
             Some(shown) => Reply::new(200, &shown),
             None => Reply::later("not recorded in time", 1),
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -3,19 +3,19 @@
 use super::*;
 use crate::cluster::frames::Op;
 use crate::store::StoreError;
-use copperhaven_core::pipelines::awaits::Named;
+use copperhaven_core::pipelines::awaits::DependencyState;
 use copperhaven_wire::{encode, jobs};
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 
 #[test]
 fn a_leader_counts_its_lease_from_the_send_of_the_last_good_renewal() {
-    let node = Node::new(copperhaven_core::for_tests::sample());
+    let node = Node::new(copperhaven_core::for_tests::sample_settings());
     let cell = copperhaven_core::for_tests::cell();
     let term = cell.term;
     let mut state = State { cell: Some(cell), renewed: 10_000, ..State::default() };
     let ttl = node.settings.tuning.leader_lease_ms;
-    let hold = node.settings.holding_ms();
+    let hold = node.settings.renewal_grace_ms();
     for (at, authority, holding) in [
         (10_000 + ttl - 1, true, true),
         (10_000 + ttl, false, true),
@@ -34,7 +34,7 @@
 fn long_lists_of_jobs_to_wait_for_are_taken_in() {
     // Found when tried by hand: a list of 300 jobs was refused as too long to be recorded, since
     // it was counted as part of the job's own record.
-    let node = Node::new(copperhaven_core::for_tests::sample());
+    let node = Node::new(copperhaven_core::for_tests::sample_settings());
     let mut cell = copperhaven_core::for_tests::cell();
     cell.write_queue.value_limit = 2048;
     let term = cell.term;
@@ -57,7 +57,7 @@
     // One that nobody knows has to be looked up first, and is refused only then.
     let strange = encode(&body(7, &["wk-7777".into()]));
     assert!(matches!(node.take_in(term, &strange, &HashMap::new()), Some(Taking::Ask(..))));
-    let read = HashMap::from([("wk-7777".to_string(), Named::Never)]);
+    let read = HashMap::from([("wk-7777".to_string(), DependencyState::NeverAccepted)]);
     let taken = node.take_in(term, &strange, &read);
     assert!(matches!(taken, Some(Taking::Refused(r)) if r.status == 422));
     let mut named = body(8, &[]);
@@ -92,13 +92,13 @@
 fn questions_neither_use_up_the_state_service_nor_crowd_out_submissions() {
     // Found on an own day of sixty times as many questions: while nobody led each cost two
     // look-ups, the state service refused all others too, and the next leader came 5 s later.
-    let node = Node::new(copperhaven_core::for_tests::sample());
+    let node = Node::new(copperhaven_core::for_tests::sample_settings());
     // 250 requests a second, 0.3 of them for look-ups, two controllers; a burst of a second.
     let burst = (0..100).filter(|i| node.may_look_up(&format!("wk-{i}"), 2)).count();
     assert_eq!(burst, 18);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("runtime").block_on(async {
-        while node.lookups.lock().expect("lock").more(1, node.now()) {}
+        while node.lookups.lock().expect("lock").try_acquire_more(1, node.now()) {}
         let show = node.ask(Op::Show, b"wk-1").await;
         assert!(show.status == 503 && (2..=4).contains(&show.retry_after));
         assert_eq!(node.refused[2].load(Ordering::Relaxed), 1);
@@ -114,7 +114,7 @@
 fn a_node_without_a_way_to_the_leader_soon_sends_its_users_elsewhere() {
     // Found on grown days: while controllers could not reach one another, two of three kept
     // their users for six seconds and more, and turned each request away.
-    let node = Node::new(copperhaven_core::for_tests::sample());
+    let node = Node::new(copperhaven_core::for_tests::sample_settings());
     assert!(!node.up_at(5_000), "never reached a leader");
     let other = 1 - node.cluster.me;
     {
@@ -130,9 +130,9 @@
         assert_eq!((show.status, show.retry_after, show.close), (503, 1, true));
         // Without the state service too, a question is answered at once: no look-up is made.
         node.state_service(Some(&StoreError::Status(503)));
-        let before = node.lookups.lock().expect("lock").left();
+        let before = node.lookups.lock().expect("lock").available();
         let show = node.ask(Op::Show, b"wk-1").await;
         assert_eq!((show.status, show.retry_after, show.close), (503, 1, true));
-        assert_eq!(node.lookups.lock().expect("lock").left(), before);
+        assert_eq!(node.lookups.lock().expect("lock").available(), before);
     });
 }
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Answer, CallError, Client};
 use crate::net::Net;
-use copperhaven_core::records::{Change, Cond};
+use copperhaven_core::records::{Change, Condition};
 use copperhaven_wire::encode;
 use hyper::Method;
 use serde::de::{DeserializeOwned, IgnoredAny};
@@ -199,10 +199,10 @@
         }
     }
 
-    pub async fn commit(&self, when: &[Cond], apply: &[Change]) -> Outcome {
+    pub async fn commit(&self, when: &[Condition], apply: &[Change]) -> Outcome {
         #[derive(Serialize)]
         struct Body<'a> {
-            when: &'a [Cond],
+            when: &'a [Condition],
             apply: &'a [Change],
         }
         #[derive(Deserialize)]
@@ -277,8 +277,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use copperhaven_core::records::{DoneRecord, FinalRecord, JobRecord, MachineRecord};
-    use copperhaven_core::records::{LinksRecord, RentalRecord};
+    use copperhaven_core::records::{DoneTasksRecord, FinalRecord, JobRecord, MachineRecord};
+    use copperhaven_core::records::{DependenciesRecord, RentalRecord};
     use std::collections::BTreeMap;
 
     /// A page with one record of another kind, or with something else under its key.
@@ -327,14 +327,14 @@
                 ])
             };
             let expect = (2, vec!["x/2".to_string()], true);
-            assert_eq!(bad::<DoneRecord>(&all(0)), expect, "{wrong}");
+            assert_eq!(bad::<DoneTasksRecord>(&all(0)), expect, "{wrong}");
             assert_eq!(bad::<FinalRecord>(&all(1)), expect, "{wrong}");
-            assert_eq!(bad::<LinksRecord>(&all(2)), expect, "{wrong}");
+            assert_eq!(bad::<DependenciesRecord>(&all(2)), expect, "{wrong}");
             assert_eq!(bad::<RentalRecord>(&all(3)), expect, "{wrong}");
             assert_eq!(bad::<MachineRecord>(&all(4)), expect, "{wrong}");
             let jobs = page(&[("j/wk-1", wrong.clone())]);
             assert_eq!(bad::<JobRecord>(&jobs), (0, vec!["j/wk-1".to_string()], true), "{wrong}");
         }
-        assert!(Page::<Lenient<DoneRecord>>::read(b"\x93\x01").is_none(), "a torn answer is none");
+        assert!(Page::<Lenient<DoneTasksRecord>>::read(b"\x93\x01").is_none(), "a torn answer is none");
     }
 }
--- a/crates/core/benches/leader.rs
+++ b/crates/core/benches/leader.rs
@@ -4,15 +4,15 @@
 //! Machines of 32 CPUs, all full of running tasks; as many open jobs as machines, gangs and arrays in turn,
 //! that wait. One core; no state service, no sockets.
 
-use copperhaven_core::admission::shape::admit_shape;
-use copperhaven_core::for_tests::{T0, TEAMS, TERM, body, large, report, sample_with};
-use copperhaven_core::records::{Cond, JobRecord, MachineRecord, OnRecord};
+use copperhaven_core::admission::shape::resolve_spec;
+use copperhaven_core::for_tests::{START_MS, TEAMS_LINE, TERM, body, large_machine_type, report, sample_settings_with};
+use copperhaven_core::records::{Condition, JobRecord, MachineRecord, AssignmentRecord};
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
-use copperhaven_core::workers::reports::Taken;
+use copperhaven_core::workers::reports::ReportOutcome;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use copperhaven_wire::workers::{TaskReport, Report};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -63,20 +63,20 @@
         format!(r#"{{ name = "{name}", cpus = {:.1}, cpus_max = {:.1} }}"#, cpus * 0.4, cpus * 2.0)
     };
     let teams = format!("teams = [{}, {}]", team("red"), team("blue"));
-    let settings = Arc::new(sample_with(&[(TEAMS, &teams)]));
+    let settings = Arc::new(sample_settings_with(&[(TEAMS_LINE, &teams)]));
     let mut names = Names::new(&settings);
     names.types.intern("large");
-    let flavors = vec![Flavor::from_wire(&large(&["north", "south"]), &mut names)];
-    let leader = Cond { path: "c/leader".into(), stamp: 5 };
-    let mut c = LeaderState::new(settings, TERM, leader, T0, names, flavors);
+    let flavors = vec![Flavor::from_wire(&large_machine_type(&["north", "south"]), &mut names)];
+    let leader = Condition { path: "c/leader".into(), revision: 5 };
+    let mut c = LeaderState::new(settings, TERM, leader, START_MS, names, flavors);
     c.fleet.provided_machines = Some(0);
     c
 }
 
 fn insert(c: &mut LeaderState, b: JobBody) -> JobId {
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
-    let spec = admit_shape(&b, &mut c.names, &flavors, &settings).expect("valid");
-    let id = c.insert_job(spec, b, T0, T0 as i64);
+    let spec = resolve_spec(&b, &mut c.names, &flavors, &settings).expect("valid");
+    let id = c.insert_job(spec, b, START_MS, START_MS as i64);
     let ver = c.mark_dirty(RecordKey::Job(id));
     if let Some(job) = c.jobs.get_mut(&id) {
         job.accept_ver = ver;
@@ -85,8 +85,8 @@
 }
 
 fn saved(c: &mut LeaderState) {
-    while let Some(batch) = c.batch(500) {
-        c.applied(&batch, 9);
+    while let Some(batch) = c.next_batch(500) {
+        c.on_applied(&batch, 9);
     }
 }
 
@@ -95,9 +95,9 @@
     let mut c = empty(machines);
     let id = insert(&mut c, busy(machines));
     for i in 0..machines {
-        let Taken::Answer(mid) = c.on_report(&told(i, 1, vec![]), T0) else { panic!("taken") };
+        let ReportOutcome::Answer(mid) = c.on_report(&told(i, 1, vec![]), START_MS) else { panic!("taken") };
         let attempt = c.new_attempt();
-        (0..8).for_each(|t| c.assign(mid, id, (i * 8 + t) as u32, attempt, T0));
+        (0..8).for_each(|t| c.assign(mid, id, (i * 8 + t) as u32, attempt, START_MS));
     }
     (0..jobs).for_each(|n| {
         insert(&mut c, job(n));
@@ -105,9 +105,9 @@
     saved(&mut c);
     for i in 0..machines {
         let r = running(&c, i, 2);
-        c.on_report(&r, T0 + 1);
+        c.on_report(&r, START_MS + 1);
     }
-    c.place(T0 + 2);
+    c.run_placement_pass(START_MS + 2);
     saved(&mut c);
     c
 }
@@ -146,13 +146,13 @@
 fn records(size: usize) -> Records {
     let record = |job: JobBody| {
         let path = format!("j/{}", job.uid);
-        (path, JobRecord { job, at: 1, cancelled: false, waits: None, since: None }, 7)
+        (path, JobRecord { job, accepted_at_ms: 1, cancelled: false, dependency_wait: None, eligible_at_ms: None }, 7)
     };
     let jobs = (0..size).map(job).chain([busy(size)]).map(record).collect();
     let machine = |i: usize| {
-        let on = vec![OnRecord { j: BUSY.into(), t: 9, r: vec![i as u32 * 8, 8] }];
+        let on = vec![AssignmentRecord { job: BUSY.into(), attempt: 9, task_ranges: vec![i as u32 * 8, 8] }];
         let (berth, yard) = ("large".into(), "north".into());
-        let r = MachineRecord { addr: addr(i), berth, yard, spot: false, shift: 1, on };
+        let r = MachineRecord { addr: addr(i), machine_type: berth, zone: yard, spot: false, session: 1, assignments: on };
         (format!("m/{}", name(i)), r, 7)
     };
     Records { jobs, machines: (0..size).map(machine).collect(), ..Records::default() }
@@ -164,7 +164,7 @@
     group.measurement_time(Duration::from_secs(1));
     for size in [100, 1_000, 10_000] {
         let mut c = full(size, size);
-        let (mut tally, mut now, mut more) = (10u64, T0 + 1_000, 0);
+        let (mut tally, mut now, mut more) = (10u64, START_MS + 1_000, 0);
         // One task is done; the pass finds its place for another.
         group.bench_function(BenchmarkId::new("a pass after one change", size), |b| {
             b.iter_custom(|n| {
@@ -179,7 +179,7 @@
                     saved(c);
                     now
                 };
-                timed(n, &mut c, before, |c, now| c.place(now))
+                timed(n, &mut c, before, |c, now| c.run_placement_pass(now))
             });
         });
         group.bench_function(BenchmarkId::new("a report", size), |b| {
@@ -208,14 +208,14 @@
         });
         let c = full(size, size);
         group.bench_function(BenchmarkId::new("a plan of rentals", size), |b| {
-            b.iter(|| black_box(c.demand(T0 + 500)));
+            b.iter(|| black_box(c.rental_demand(START_MS + 500)));
         });
         group.bench_function(BenchmarkId::new("a rebuild", size), |b| {
             b.iter_custom(|n| {
                 let once = |_| {
                     let (read, mut c) = (records(size), empty(size));
                     let begin = Instant::now();
-                    rebuild(&mut c, read, T0, 1_000_000);
+                    rebuild(&mut c, read, START_MS, 1_000_000);
                     begin.elapsed()
                 };
                 (0..n).map(once).sum()
--- a/crates/core/examples/flood.rs
+++ b/crates/core/examples/flood.rs
@@ -6,14 +6,14 @@
 //! four times over, a state service of 250 changes a second. Times are this machine's, of one core; without
 //! arguments the sizes of the table in `docs/results.md`.
 
-use copperhaven_core::admission::shape::admit_shape;
-use copperhaven_core::for_tests::{OBJECTIVES, TEAMS, body, large, report, sample_with};
-use copperhaven_core::records::Cond;
+use copperhaven_core::admission::shape::resolve_spec;
+use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, body, large_machine_type, report, sample_settings_with};
+use copperhaven_core::records::Condition;
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::Names;
-use copperhaven_core::workers::reports::Taken;
+use copperhaven_core::workers::reports::ReportOutcome;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use copperhaven_wire::workers::{Order, TaskReport, Report};
 use rand::rngs::StdRng;
@@ -79,9 +79,9 @@
     let zones = format!("zones = {ZONES:?}");
     let teams = format!("teams = [{}]", teams.join(", "));
     let objectives = r#"objectives = [{ kind = "wait", class = "gang", within_s = 60.0 }, { kind = "finished", class = "match", within_s = 350.0 }, { kind = "guarantee", within_s = 20.0 }]"#;
-    sample_with(&[
-        (TEAMS, &teams),
-        (OBJECTIVES, objectives),
+    sample_settings_with(&[
+        (TEAMS_LINE, &teams),
+        (OBJECTIVES_LINE, objectives),
         (r#"zones = ["north", "south"]"#, &zones),
         ("report_s = 1.0", "report_s = 4.0"),
         ("lease_s = 10.0", "lease_s = 30.0"),
@@ -95,8 +95,8 @@
         let settings = Arc::new(settings(machines));
         let mut names = Names::new(&settings);
         names.types.intern("large");
-        let flavors = vec![Flavor::from_wire(&large(&ZONES), &mut names)];
-        let leader = Cond { path: "c/leader".into(), stamp: 50 };
+        let flavors = vec![Flavor::from_wire(&large_machine_type(&ZONES), &mut names)];
+        let leader = Condition { path: "c/leader".into(), revision: 50 };
         let mut cell = LeaderState::new(settings, 7, leader, 100_000, names, flavors);
         cell.fleet.provided_machines = Some(0);
         World {
@@ -143,7 +143,7 @@
         self.spent.on("submission", || {
             let settings = cell.settings.clone();
             let flavors = cell.flavors.clone();
-            let spec = admit_shape(&b, &mut cell.names, &flavors, &settings).expect("valid");
+            let spec = resolve_spec(&b, &mut cell.names, &flavors, &settings).expect("valid");
             if !cell.has_memory_for(spec.team, spec.tasks) {
                 return;
             }
@@ -212,10 +212,10 @@
         while self.tokens >= 12.0 {
             let ops = (self.tokens as usize).min(48);
             let cell = &mut self.cell;
-            let Some(batch) = self.spent.on("batch", || cell.batch(ops)) else { return };
+            let Some(batch) = self.spent.on("batch", || cell.next_batch(ops)) else { return };
             self.tokens -= batch.changes.len() as f64;
             let rev = self.now;
-            self.spent.on("applied", || cell.applied(&batch, rev));
+            self.spent.on("applied", || cell.on_applied(&batch, rev));
         }
     }
 
@@ -245,12 +245,12 @@
                 let r = self.report_of(i);
                 let cell = &mut self.cell;
                 let taken = self.spent.on("report", || cell.on_report(&r, now));
-                let Taken::Answer(mid) = taken else { continue };
+                let ReportOutcome::Answer(mid) = taken else { continue };
                 self.place();
                 let cell = &mut self.cell;
                 let at = (r.session, r.sequence);
                 // Answered at once, though orders may not be safe yet: they go with the next.
-                let orders = self.spent.on("orders", || cell.orders(mid, at, now, true));
+                let orders = self.spent.on("orders", || cell.issue_orders(mid, at, now, true));
                 let list = orders.map(|o| o.orders).unwrap_or_default();
                 self.execute(i, list);
             }
@@ -258,14 +258,14 @@
             if step % (100 / STEP_MS) == 0 {
                 let cell = &mut self.cell;
                 self.spent.on("beat", || {
-                    cell.expire(now);
-                    cell.follow(now);
+                    cell.expire_leases(now);
+                    cell.propagate_dependencies(now);
                     if step % (500 / STEP_MS) == 0 {
                         cell.placement_pending = true;
                     }
                     if step % (2000 / STEP_MS) == 0 {
-                        cell.spot_slow(now);
-                        cell.judge(now);
+                        cell.quarantine_slow_machines(now);
+                        cell.reassess_failing_jobs(now);
                     }
                 });
                 for d in std::mem::take(&mut self.cell.direct_requests) {
@@ -293,10 +293,10 @@
 
     fn place(&mut self) {
         let (now, cell) = (self.now, &mut self.cell);
-        if cell.pass_pause(now) == Some(0) {
+        if cell.ms_until_next_pass(now) == Some(0) {
             let begin = Instant::now();
-            self.spent.on("pass", || cell.place(now));
-            self.cell.pass_took(begin.elapsed().as_millis() as u64);
+            self.spent.on("pass", || cell.run_placement_pass(now));
+            self.cell.record_pass_duration(begin.elapsed().as_millis() as u64);
         }
     }
 }
--- a/crates/core/src/admission/index.rs
+++ b/crates/core/src/admission/index.rs
@@ -10,7 +10,7 @@
 use crate::state::names::*;
 
 /// ln(1−ν); minus infinity where ν is 1. The lowest ν has the highest value.
-pub fn ln_meet(m: f64, x: f64, mu: f64, theta: f64) -> f64 {
+pub fn ln_meet_probability(m: f64, x: f64, mu: f64, theta: f64) -> f64 {
     if mu <= 0.0 {
         return f64::NEG_INFINITY;
     }
@@ -26,7 +26,7 @@
 }
 
 /// ν itself, for display.
-pub fn nu(ln_meet: f64) -> f64 {
+pub fn miss_probability(ln_meet: f64) -> f64 {
     -ln_meet.exp_m1()
 }
 
@@ -54,7 +54,7 @@
 /// most `steps` equal steps. Returns how many each pool got and the best index met first.
 pub fn route(views: &mut [PoolView], theta: f64, n: u32, steps: u32) -> (Vec<u32>, f64) {
     let mut got = vec![0; views.len()];
-    let value = |v: &PoolView| ln_meet(v.m, v.x, v.mu, theta);
+    let value = |v: &PoolView| ln_meet_probability(v.m, v.x, v.mu, theta);
     let mut values: Vec<f64> = views.iter().map(value).collect();
     let best = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     if views.is_empty() {
@@ -95,7 +95,7 @@
 
 impl LeaderState {
     /// The share of a machine of this type that one task takes.
-    pub fn share(&self, spec: &JobSpec, kind: TypeId) -> f64 {
+    pub fn machine_share(&self, spec: &JobSpec, kind: TypeId) -> f64 {
         let f = &self.flavors[kind.index()];
         let part = |a: f64, b: f64| if a <= 0.0 { 0.0 } else { a / b.max(1e-9) };
         part(spec.cpus, f.cpus)
@@ -105,10 +105,10 @@
     }
 
     /// θ: one over the job's deadline span, its class's objective, or the default.
-    pub fn theta(&self, spec: &JobSpec) -> f64 {
+    pub fn deadline_rate(&self, spec: &JobSpec) -> f64 {
         let span = spec
             .deadline_s
-            .or_else(|| self.settings.class_span(self.names.classes.name(spec.class.index())))
+            .or_else(|| self.settings.class_span_s(self.names.classes.name(spec.class.index())))
             .unwrap_or(self.settings.tuning.default_span_s);
         1.0 / span.max(0.1)
     }
@@ -131,7 +131,7 @@
             }
             all.load[p] += (m.used_cpus / m.cpus).max(m.used_mem / m.mem_gb);
         }
-        for b in self.coming(now) {
+        for b in self.viable_boots(now) {
             all.up(self.pool_index(b.zone, b.machine_type), b.spot);
         }
         for (_, id) in &self.queue {
@@ -145,14 +145,14 @@
     pub fn add_routed(&self, all: &mut PoolLoad, spec: &JobSpec, routed: &[u32]) {
         let kinds = self.flavors.len();
         for (p, n) in routed.iter().enumerate().filter(|(_, n)| **n > 0) {
-            all.load[p] += f64::from(*n) * self.share(spec, TypeId::from(p % kinds));
+            all.load[p] += f64::from(*n) * self.machine_share(spec, TypeId::from(p % kinds));
         }
     }
 
     fn views_of(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Vec<PoolView> {
         let mut out = Vec::new();
         for kind in &spec.machine_types {
-            let share = self.share(spec, *kind);
+            let share = self.machine_share(spec, *kind);
             for zone in &self.flavors[kind.index()].zones {
                 if spec.zone.is_some_and(|z| z != *zone) {
                     continue;
@@ -175,18 +175,18 @@
 
     /// Decides on an arriving job and routes its tasks; Err carries the lowest index.
     pub fn admit(&self, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
-        self.admit_after(spec, 0.0, now)
+        self.admit_after_wait(spec, 0.0, now)
     }
 
     /// The same, where what all pools have and are asked for is known: many at once don't look through all
     /// machines and jobs each.
-    pub fn admit_on(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
+    pub fn admit_with_load(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
         self.admit_views(self.views_of(all, spec, now), spec, 0.0)
     }
 
     /// The same for a job that first waits for others, about so many seconds: the test is on what
     /// that leaves of its deadline.
-    pub fn admit_after(&self, spec: &JobSpec, wait_s: f64, now: u64) -> Result<Vec<u32>, f64> {
+    pub fn admit_after_wait(&self, spec: &JobSpec, wait_s: f64, now: u64) -> Result<Vec<u32>, f64> {
         self.admit_views(self.views(spec, now), spec, wait_s)
     }
 
@@ -198,12 +198,12 @@
     ) -> Result<Vec<u32>, f64> {
         let theta = match spec.deadline_s {
             Some(span) => 1.0 / (span - wait_s).max(0.1),
-            None => self.theta(spec),
+            None => self.deadline_rate(spec),
         };
         let steps = self.settings.tuning.route_chunk;
         let (got, best) = route(&mut views, theta, spec.tasks, steps);
         if spec.deadline_s.is_some() && !admits(best, self.settings.tuning.rejection_cost) {
-            return Err(nu(best));
+            return Err(miss_probability(best));
         }
         let mut routed = vec![0; self.pool_count()];
         for (v, n) in views.iter().zip(got) {
@@ -257,7 +257,7 @@
             (8.0, 20.0, 0.01, 0.5),
         ];
         for (m, x, mu, theta) in cases {
-            let closed = nu(ln_meet(m, x, mu, theta));
+            let closed = miss_probability(ln_meet_probability(m, x, mu, theta));
             let other = by_integration(m, x, mu, theta);
             assert!((closed - other).abs() < 1e-6, "m={m} x={x}: {closed} {other}");
         }
@@ -266,16 +266,16 @@
     #[test]
     fn extremes_keep_their_order() {
         // No slot at all: certain to miss.
-        assert_eq!(ln_meet(0.0, 0.0, 0.05, 0.01), f64::NEG_INFINITY);
+        assert_eq!(ln_meet_probability(0.0, 0.0, 0.05, 0.01), f64::NEG_INFINITY);
         // Where ν rounds to 1, the order and `ν < 1` must survive (huge arrays).
-        let (a, b) = (ln_meet(4.0, 90_000.0, 0.05, 0.02), ln_meet(4.0, 90_001.0, 0.05, 0.02));
-        assert!(nu(a) == 1.0 && a > b && b.is_finite());
+        let (a, b) = (ln_meet_probability(4.0, 90_000.0, 0.05, 0.02), ln_meet_probability(4.0, 90_001.0, 0.05, 0.02));
+        assert!(miss_probability(a) == 1.0 && a > b && b.is_finite());
         assert!(admits(b, 1.0) && !admits(b, 0.999) && admits(b, 1.1));
         assert!(!admits(f64::NEG_INFINITY, 1.0));
         // Tiny θ: nothing is late. Huge θ: everything is.
-        assert!(nu(ln_meet(1.0, 100.0, 1.0, 1e-12)) < 1e-9);
-        assert!(nu(ln_meet(1.0, 0.0, 1.0, 1e12)) > 0.999_999);
-        assert!(!admits(ln_meet(1.0, 0.0, 1.0, 3.0), 0.5));
+        assert!(miss_probability(ln_meet_probability(1.0, 100.0, 1.0, 1e-12)) < 1e-9);
+        assert!(miss_probability(ln_meet_probability(1.0, 0.0, 1.0, 1e12)) > 0.999_999);
+        assert!(!admits(ln_meet_probability(1.0, 0.0, 1.0, 3.0), 0.5));
     }
 
     #[test]
--- a/crates/core/src/admission/shape.rs
+++ b/crates/core/src/admission/shape.rs
@@ -12,7 +12,7 @@
 pub struct Never(pub String);
 
 /// Maps names to indices and says what can never run.
-pub fn admit_shape(
+pub fn resolve_spec(
     job: &JobBody,
     names: &mut Names,
     flavors: &[Flavor],
@@ -81,9 +81,9 @@
 
     #[test]
     fn what_can_never_run() {
-        let settings = crate::for_tests::sample();
+        let settings = crate::for_tests::sample_settings();
         let mut names = Names::new(&settings);
-        let flavors = crate::for_tests::flavors(&mut names);
+        let flavors = crate::for_tests::sample_machine_types(&mut names);
         let cases: [(Option<&str>, Edit); 10] = [
             (None, |_| ()),
             // A team with neither guarantee nor limit is served like any other.
@@ -102,7 +102,7 @@
         for (i, (expect, edit)) in cases.into_iter().enumerate() {
             let mut b = body("wk-1");
             edit(&mut b);
-            let got = admit_shape(&b, &mut names, &flavors, &settings);
+            let got = resolve_spec(&b, &mut names, &flavors, &settings);
             match expect {
                 None => assert!(got.is_ok(), "case {i}: {got:?}"),
                 Some(word) => {
--- a/crates/core/src/boots.rs
+++ b/crates/core/src/boots.rs
@@ -13,7 +13,7 @@
     /// rented in them could not be used. That a zone is dark outlasts its machines, which go back
     /// once their leases have run out; it ends with a report from the zone, or with a controller
     /// there that is reached (`reached`, by zone).
-    pub fn watch_zones(&mut self, reached: &[ZoneId], now: u64) {
+    pub fn update_silent_zones(&mut self, reached: &[ZoneId], now: u64) {
         let silence = self.report_timeout_ms();
         let mut heard = vec![(0, 0, 0); self.names.zones.len()];
         for m in self.machines.values() {
@@ -38,14 +38,14 @@
     }
 
     /// Zones in which nothing is rented for now.
-    pub(crate) fn dark_zones(&self) -> Vec<bool> {
+    pub(crate) fn silent_zones(&self) -> Vec<bool> {
         (0..self.names.zones.len())
             .map(|z| self.fleet.silent_zones.contains_key(&ZoneId::from(z)))
             .collect()
     }
 
     /// Machines whose boot is overdue, and the places where none has come up in time since.
-    pub fn overdue(&self, now: u64) -> (Vec<&str>, HashSet<(TypeId, ZoneId)>) {
+    pub fn overdue_boots(&self, now: u64) -> (Vec<&str>, HashSet<(TypeId, ZoneId)>) {
         let (mut names, mut places) = (vec![], HashSet::new());
         for (name, b) in &self.fleet.booting {
             let nominal = self.flavors[b.machine_type.index()].boot_s;
@@ -66,8 +66,8 @@
     /// Booting machines that work may count on. One that is overdue is replaced where machines of
     /// its type still come up in time somewhere; where they do nowhere, its replacement would be
     /// as late, and a flood of them would only have to be paid for.
-    pub fn coming(&self, now: u64) -> Vec<&Booting> {
-        let (overdue, late) = self.overdue(now);
+    pub fn viable_boots(&self, now: u64) -> Vec<&Booting> {
+        let (overdue, late) = self.overdue_boots(now);
         let elsewhere = |b: &Booting| {
             let zones = &self.flavors[b.machine_type.index()].zones;
             let sound =
@@ -82,8 +82,8 @@
     }
 
     /// Tells operators when boots begin and cease to be overdue.
-    pub fn watch_boots(&mut self, now: u64) {
-        let n = self.overdue(now).0.len();
+    pub fn log_overdue_boots(&mut self, now: u64) {
+        let n = self.overdue_boots(now).0.len();
         if n > 0 && self.fleet.overdue_boots == 0 {
             tracing::warn!("{n} machines are overdue: others are rented in their stead");
         } else if n == 0 && self.fleet.overdue_boots > 0 {
@@ -93,7 +93,7 @@
     }
 
     /// Now and then a dark zone gets one machine, to see whether it is heard.
-    pub(crate) fn probe(&mut self, now: u64) -> Option<(RentalKind, u32)> {
+    pub(crate) fn probe_silent_zone(&mut self, now: u64) -> Option<(RentalKind, u32)> {
         let (zone, _) = self
             .fleet
             .silent_zones
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -1,8 +1,8 @@
 //! What to rent for the work that waits.
 
-use crate::placement::order::Ranked;
-use crate::placement::pass::Full;
-use crate::placement::slots::Slot;
+use crate::placement::order::RankedJob;
+use crate::placement::pass::FailedSearches;
+use crate::placement::slots::FreeCapacity;
 use crate::state::cell::LeaderState;
 use crate::state::fleet::{RentalKind, OVERDUE_COST_FACTOR};
 use crate::state::job::{EPS, JobSpec};
@@ -40,46 +40,46 @@
     fn spares(&self, spec: &JobSpec, born: i64, now: u64) -> bool {
         let waited = (now as i64 - born) as f64 / 1000.0;
         let guest = self.settings.deployment.teams[spec.team.index()].is_guest();
-        guest && spec.spot && waited * self.theta(spec) < 1.0
+        guest && spec.spot && waited * self.deadline_rate(spec) < 1.0
     }
 
     /// What to rent now: the work that waits is laid onto free and booting machines in the order
     /// in which it is served; what finds no place is given the cheapest machines that fit it.
-    pub fn demand(&self, now: u64) -> Vec<(RentalKind, u32)> {
-        self.demand_and_kept(now).0
+    pub fn rental_demand(&self, now: u64) -> Vec<(RentalKind, u32)> {
+        self.rental_demand_and_retained(now).0
     }
 
     /// The same, and the machines on which jobs that are soon ready were laid.
-    pub(crate) fn demand_and_kept(&self, now: u64) -> (Vec<(RentalKind, u32)>, HashSet<MachineId>) {
+    pub(crate) fn rental_demand_and_retained(&self, now: u64) -> (Vec<(RentalKind, u32)>, HashSet<MachineId>) {
         let mut kept = HashSet::new();
         // After a takeover places that are there all the same count, though they were not heard of yet.
-        let mut slots: Vec<Slot> = self.slots(now).into_iter().chain(self.expected(now)).collect();
+        let mut slots: Vec<FreeCapacity> = self.free_capacity(now).into_iter().chain(self.unconfirmed_capacity(now)).collect();
         for s in &mut slots {
             // A machine held for a job gets free for it once the tasks there have stopped.
             if s.reserved.is_some() {
                 let f = &self.flavors[s.kind.index()];
-                (s.cpus, s.cards, s.mem_gb) = (f.cpus, f.gpus, f.mem_gb);
+                (s.cpus, s.gpus, s.mem_gb) = (f.cpus, f.gpus, f.mem_gb);
             }
         }
         let fresh = |(kind, zone, spot): RentalKind, mid: u32| {
             let f = &self.flavors[kind.index()];
-            Slot {
-                mid: MachineId(mid),
+            FreeCapacity {
+                machine_id: MachineId(mid),
                 kind,
                 zone,
                 spot,
                 cpus: f.cpus,
-                cards: f.gpus,
+                gpus: f.gpus,
                 mem_gb: f.mem_gb,
                 images: Default::default(),
-                record: usize::MAX,
+                record_free_bytes: usize::MAX,
                 reserved: None,
             }
         };
         // A place that a running task is about to leave comes sooner than a machine that boots.
         let boot = self.flavors.iter().map(|f| f.boot_s).fold(f64::MAX, f64::min);
         for s in &mut slots {
-            let Some(m) = self.machines.get(&s.mid).filter(|_| s.reserved.is_none()) else {
+            let Some(m) = self.machines.get(&s.machine_id).filter(|_| s.reserved.is_none()) else {
                 continue;
             };
             for ((id, _), e) in &m.assignments {
@@ -88,13 +88,13 @@
                 let ran = now.saturating_sub(e.running_since) as f64 / 1000.0;
                 let running = e.observed == ObservedState::Running && job.spec.shape != JobKind::Service;
                 if e.stop_requested.is_some() || (running && run - ran < boot) {
-                    s.take_back(&job.spec);
+                    s.release(&job.spec);
                 }
             }
         }
-        let dark = self.dark_zones();
-        let (_, late) = self.overdue(now);
-        for b in self.coming(now).into_iter().filter(|b| !dark[b.zone.index()]) {
+        let dark = self.silent_zones();
+        let (_, late) = self.overdue_boots(now);
+        for b in self.viable_boots(now).into_iter().filter(|b| !dark[b.zone.index()]) {
             slots.push(fresh((b.machine_type, b.zone, b.spot), u32::MAX));
         }
         for r in self.fleet.rentals.values().filter(|r| !r.resolved) {
@@ -104,7 +104,7 @@
         }
         let mut out: BTreeMap<RentalKind, u32> = BTreeMap::new();
         // Demands for which no place was left: whoever needs as much need not look.
-        let mut full = Full::default();
+        let mut full = FailedSearches::default();
         let tight = |cpus: f64| (cpus * 1000.0) as i64;
         let mut kept_for: BTreeMap<JobId, Vec<usize>> = BTreeMap::new();
         let mut by_room: BTreeSet<(i64, usize)> = BTreeSet::new();
@@ -122,18 +122,18 @@
         // By priority: a team's lower work makes way for its higher.
         let split = |s: &UsageByPriority| -> [Usage; 4] { std::array::from_fn(|p| s.total_at(p)) };
         let mut used: Vec<[Usage; 4]> = self.team_usage.usages_by_priority().map(split).collect();
-        let needs = self.who_needs();
+        let needs = self.compute_deficits();
         // Then those that are ready by the time a machine rented now is up.
-        let soon: Vec<Ranked> = self
-            .soon_ready(boot * 0.5, now)
+        let soon: Vec<RankedJob> = self
+            .jobs_ready_within(boot * 0.5, now)
             .into_iter()
             .filter_map(|id| {
                 let team = self.jobs.get(&id)?.spec.team;
                 let (team_need, class_need) = (false, DeficitLevel::NONE);
-                Some(Ranked { id, guaranteed: false, team, team_need, class_need })
+                Some(RankedJob { id, guaranteed: false, team, team_underserved: team_need, class_need })
             })
             .collect();
-        for r in self.ranked(&needs, now).into_iter().chain(soon) {
+        for r in self.ranked_jobs(&needs, now).into_iter().chain(soon) {
             let Some(job) = self.jobs.get(&r.id) else { continue };
             let spec = &job.spec;
             let early = !job.pending_dependencies.is_empty();
@@ -171,10 +171,10 @@
             let mut found: Vec<(usize, u32)> = vec![];
             let mut left = n;
             let from = (tight(spec.cpus - EPS), 0);
-            let open = (!full.has_no_place(spec)).then(|| by_room.range(from..));
+            let open = (!full.is_unplaceable(spec)).then(|| by_room.range(from..));
             let open = open.into_iter().flatten().map(|(_, i)| *i);
             for i in own.chain(open) {
-                let k = if slots[i].allowed(spec) { slots[i].fits(spec).min(left) } else { 0 };
+                let k = if slots[i].is_eligible_for(spec) { slots[i].fitting_tasks(spec).min(left) } else { 0 };
                 if k > 0 {
                     found.push((i, k));
                     left -= k;
@@ -184,16 +184,16 @@
                 }
             }
             if found.is_empty() && n > 0 {
-                full.found_room(spec, 0);
+                full.record_max_tasks(spec, 0);
             }
             for (i, k) in found {
                 let before = (tight(slots[i].cpus), i);
-                slots[i].take(spec, k);
+                slots[i].allocate(spec, k);
                 if by_room.remove(&before) {
                     by_room.insert((tight(slots[i].cpus), i));
                 }
                 if early {
-                    kept.insert(slots[i].mid);
+                    kept.insert(slots[i].machine_id);
                 }
             }
             n = left;
@@ -215,7 +215,7 @@
                         if !spot && self.spares(spec, job.eligible_mono_ms, now) {
                             continue;
                         }
-                        let each = fresh(what, 0).fits(spec).max(1);
+                        let each = fresh(what, 0).fitting_tasks(spec).max(1);
                         let machines = n.div_ceil(each);
                         let late = if late.contains(&(*kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
                         let price = f64::from(machines) * f.price(spot).max(1e-6) * late;
@@ -232,13 +232,13 @@
                 for _ in 0..machines {
                     let mut s = fresh(what, u32::MAX);
                     let k = each.min(n);
-                    s.take(spec, k);
+                    s.allocate(spec, k);
                     n -= k;
                     by_room.insert((tight(s.cpus), slots.len()));
                     slots.push(s);
                 }
                 // The last one may have places left, and so had those before it.
-                full = Full::default();
+                full = FailedSearches::default();
             }
         }
         (out.into_iter().collect(), kept)
--- a/crates/core/src/fleet/rentals.rs
+++ b/crates/core/src/fleet/rentals.rs
@@ -13,10 +13,10 @@
         if self.fleet.rentals.len() >= 8 || self.fleet.provided_machines.is_none() {
             return;
         }
-        let (mut wanted, kept) = self.demand_and_kept(now);
+        let (mut wanted, kept) = self.rental_demand_and_retained(now);
         self.fleet.retained_machines = kept;
         if !wanted.is_empty() {
-            wanted.extend(self.probe(now));
+            wanted.extend(self.probe_silent_zone(now));
         } else {
             wanted.extend(self.standing_rental(now));
         }
@@ -35,7 +35,7 @@
     }
 
     /// Up to `most` rentals that may be asked for now; they count as being asked for.
-    pub fn due_rentals(&mut self, now: u64, most: usize) -> Vec<(String, RentalRecord)> {
+    pub fn take_due_rentals(&mut self, now: u64, most: usize) -> Vec<(String, RentalRecord)> {
         let due = |name: &String, r: &Rental| {
             let key = RecordKey::Rental(name.clone());
             let safe = r.ver == 0 || self.is_saved(&key, r.ver);
@@ -55,13 +55,13 @@
     }
 
     /// No answer to a rental: it is asked for again under the same name.
-    pub fn rental_unanswered(&mut self, name: &str, now: u64) {
+    pub fn on_rental_unanswered(&mut self, name: &str, now: u64) {
         if let Some(r) = self.fleet.rentals.get_mut(name) {
             (r.in_flight, r.retry_at) = (false, now + 1000);
         }
     }
 
-    pub fn rented(&mut self, name: &str, hearths: Option<Vec<String>>, now: u64) {
+    pub fn on_rented(&mut self, name: &str, hearths: Option<Vec<String>>, now: u64) {
         let Some(r) = self.fleet.rentals.get_mut(name) else { return };
         r.resolved = true;
         let (what, number) = (r.kind, r.number);
@@ -89,7 +89,7 @@
 
     /// Takes a whole machine list in. It is late and may be older than the one before: nothing
     /// is taken for gone on its word alone.
-    pub fn listed(&mut self, hosts: &[Host], now: u64) {
+    pub fn on_machine_list(&mut self, hosts: &[Host], now: u64) {
         for h in hosts {
             if h.status == "failed" && !self.fleet.gone.contains(&h.uid) {
                 self.fleet.pending_returns.insert(h.uid.clone(), "it has failed");
@@ -127,7 +127,7 @@
     }
 
     /// Machines that are there without having been rented: those listed, and those that report.
-    pub fn provided(&self, hosts: &[Host]) -> u32 {
+    pub fn count_provided(&self, hosts: &[Host]) -> u32 {
         let listed = hosts.iter().filter(|h| h.status != "failed").map(|h| h.uid.as_str());
         let heard = self.machines.values().map(|m| m.name.as_str());
         listed.chain(heard).collect::<HashSet<_>>().len() as u32
--- a/crates/core/src/fleet/returns.rs
+++ b/crates/core/src/fleet/returns.rs
@@ -16,7 +16,7 @@
             }
         }
         let mut back = vec![];
-        let mut spare = -self.standing_gap(now);
+        let mut spare = -self.standing_gap_cpus(now);
         for (mid, m) in &self.machines {
             if self.is_lease_over(m, now) {
                 back.push((*mid, "its lease has run out"));
@@ -38,7 +38,7 @@
                 }
             }
         }
-        back.extend(self.deaf_returns(now).into_iter().map(|mid| (mid, "it does not hear")));
+        back.extend(self.unresponsive_machines_to_return(now).into_iter().map(|mid| (mid, "it does not hear")));
         for (mid, why) in back {
             if let Some(m) = self.machines.get_mut(&mid) {
                 m.leaving = true;
@@ -52,7 +52,7 @@
     }
 
     /// The cloud has confirmed: these machines, and all that was on them, are gone.
-    pub fn returned(&mut self, names: &[String]) {
+    pub fn on_returned(&mut self, names: &[String]) {
         for name in names {
             let why = self.fleet.pending_returns.remove(name).unwrap_or("");
             tracing::info!("return {name}: {why}");
@@ -60,7 +60,7 @@
             if let Some(mid) = self.machines.id_of(name) {
                 self.remove_machine(mid);
             } else if self.unreadable.has_machine(name) {
-                self.nothing_hidden(name, "the cloud has taken it back");
+                self.resolve_unreadable_machine_record(name, "the cloud has taken it back");
                 self.write_queue.delete_path(format!("m/{name}"));
             }
             if self.fleet.gone.len() > 5000 {
--- a/crates/core/src/fleet/standing.rs
+++ b/crates/core/src/fleet/standing.rs
@@ -27,7 +27,7 @@
     }
 
     /// CPUs to be kept less those that are up or coming.
-    pub(crate) fn standing_gap(&self, now: u64) -> f64 {
+    pub(crate) fn standing_gap_cpus(&self, now: u64) -> f64 {
         if !self.boots_late() {
             return f64::MIN;
         }
@@ -35,7 +35,7 @@
         let want = guarantees * self.settings.tuning.standing;
         let up: f64 =
             self.machines.values().filter(|m| !m.faulty && !m.leaving).map(|m| m.cpus).sum();
-        let booting = self.coming(now);
+        let booting = self.viable_boots(now);
         let coming = booting.iter().map(|b| (b.machine_type, 1));
         let asked = self.fleet.rentals.values().filter(|r| !r.resolved);
         let coming: f64 = coming
@@ -46,13 +46,13 @@
     }
 
     pub(crate) fn standing_rental(&self, now: u64) -> Option<(RentalKind, u32)> {
-        let gap = self.standing_gap(now);
+        let gap = self.standing_gap_cpus(now);
         let busy = self.fleet.rentals.values().any(|r| !r.resolved);
         if gap <= EPS || busy {
             return None;
         }
-        let dark = self.dark_zones();
-        let (_, late) = self.overdue(now);
+        let dark = self.silent_zones();
+        let (_, late) = self.overdue_boots(now);
         let mut best: Option<(f64, RentalKind, u32)> = None;
         for (i, f) in self.flavors.iter().enumerate() {
             let kind = TypeId::from(i);
--- a/crates/core/src/for_tests.rs
+++ b/crates/core/src/for_tests.rs
@@ -1,13 +1,13 @@
 //! A sample leader's state and its stand-ins, for tests of this crate and of the controller.
 
-use crate::admission::shape::admit_shape;
-use crate::records::{Change, Cond, JobRecord};
+use crate::admission::shape::resolve_spec;
+use crate::records::{Change, Condition, JobRecord};
 use crate::settings::Settings;
 use crate::state::cell::LeaderState;
 use crate::state::fleet::Flavor;
 use crate::state::ledger::RecordKey;
 use crate::state::names::*;
-use crate::workers::reports::Taken;
+use crate::workers::reports::ReportOutcome;
 use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::jobs::JobBody;
 pub use copperhaven_wire::jobs::sample_job as body;
@@ -15,20 +15,20 @@
 use std::sync::Arc;
 
 pub const TERM: u64 = 7;
-pub const T0: u64 = 100_000;
+pub const START_MS: u64 = 100_000;
 
 pub fn cell() -> LeaderState {
-    let settings = Arc::new(sample());
+    let settings = Arc::new(sample_settings());
     let mut names = Names::new(&settings);
-    let flavors = flavors(&mut names);
-    let leader = Cond { path: "c/leader".into(), stamp: 50 };
-    LeaderState::new(settings, TERM, leader, T0, names, flavors)
+    let flavors = sample_machine_types(&mut names);
+    let leader = Condition { path: "c/leader".into(), revision: 50 };
+    LeaderState::new(settings, TERM, leader, START_MS, names, flavors)
 }
 
 /// The record of an open job that waits for nothing.
-pub fn record(uid: &str) -> JobRecord {
+pub fn job_record(uid: &str) -> JobRecord {
     let job = body(uid);
-    JobRecord { job, at: T0, cancelled: false, waits: None, since: None }
+    JobRecord { job, accepted_at_ms: START_MS, cancelled: false, dependency_wait: None, eligible_at_ms: None }
 }
 
 pub fn add_job(c: &mut LeaderState, uid: &str, edit: fn(&mut JobBody)) -> JobId {
@@ -36,8 +36,8 @@
     edit(&mut body);
     let settings = c.settings.clone();
     let flavors = c.flavors.clone();
-    let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
-    let id = c.insert_job(spec, body, T0, T0 as i64);
+    let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
+    let id = c.insert_job(spec, body, START_MS, START_MS as i64);
     let ver = c.mark_dirty(RecordKey::Job(id));
     c.jobs.get_mut(&id).expect("there").accept_ver = ver;
     id
@@ -47,13 +47,13 @@
 pub fn commit(c: &mut LeaderState) -> Vec<Change> {
     let mut out = vec![];
     let mut rev = 1000;
-    while let Some(batch) = c.batch(16) {
+    while let Some(batch) = c.next_batch(16) {
         assert_eq!(
             batch.conditions[0], c.write_queue.leader_condition,
             "every transaction is conditional on the leader key"
         );
         rev += 1;
-        c.applied(&batch, rev);
+        c.on_applied(&batch, rev);
         out.extend(batch.changes);
     }
     out
@@ -88,28 +88,28 @@
 }
 
 /// A job's spec, without a job.
-pub fn spec(uid: &str, edit: fn(&mut JobBody)) -> crate::state::job::JobSpec {
+pub fn job_spec(uid: &str, edit: fn(&mut JobBody)) -> crate::state::job::JobSpec {
     let mut body = body(uid);
     edit(&mut body);
     let mut c = cell();
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
-    admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid")
+    resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid")
 }
 
 /// Takes a report in, places, records, and returns the orders of its response.
-pub fn exchange(c: &mut LeaderState, r: &Report, now: u64) -> Vec<Order> {
-    let Taken::Answer(mid) = c.on_report(r, now) else { panic!("not answered") };
-    c.place(now);
+pub fn exchange_report(c: &mut LeaderState, r: &Report, now: u64) -> Vec<Order> {
+    let ReportOutcome::Answer(mid) = c.on_report(r, now) else { panic!("not answered") };
+    c.run_placement_pass(now);
     commit(c);
     c.check_invariants();
-    c.orders(mid, (r.session, r.sequence), now, true).expect("orders").orders
+    c.issue_orders(mid, (r.session, r.sequence), now, true).expect("orders").orders
 }
 
 /// Lines of the sample that other tests have otherwise.
-pub const TEAMS: &str = r#"teams = [{ name = "red", cpus = 16.0, cpus_max = 64.0 }, { name = "blue", cpus = 8.0, cpus_max = 32.0 }, { name = "guest" }]"#;
-pub const OBJECTIVES: &str = r#"objectives = [{ kind = "wait", class = "steady", within_s = 40.0 }, { kind = "finished", class = "steady", within_s = 90.0 }]"#;
+pub const TEAMS_LINE: &str = r#"teams = [{ name = "red", cpus = 16.0, cpus_max = 64.0 }, { name = "blue", cpus = 8.0, cpus_max = 32.0 }, { name = "guest" }]"#;
+pub const OBJECTIVES_LINE: &str = r#"objectives = [{ kind = "wait", class = "steady", within_s = 40.0 }, { kind = "finished", class = "steady", within_s = 90.0 }]"#;
 
-pub const SAMPLE: &str = r#"
+pub const SAMPLE_SETTINGS: &str = r#"
 member = "c-0"
 zone = "north"
 front = "127.0.0.1:8080"
@@ -146,19 +146,19 @@
 "#;
 
 /// The sample with other lines in place of some of its own.
-pub fn sample_with(edits: &[(&str, &str)]) -> Settings {
-    let text = edits.iter().fold(SAMPLE.to_string(), |text, (from, to)| {
+pub fn sample_settings_with(edits: &[(&str, &str)]) -> Settings {
+    let text = edits.iter().fold(SAMPLE_SETTINGS.to_string(), |text, (from, to)| {
         assert!(text.contains(from), "{from} is not in the sample");
         text.replace(from, to)
     });
     toml::from_str(&text).expect("the sample parses")
 }
 
-pub fn sample() -> Settings {
-    toml::from_str(SAMPLE).expect("the sample parses")
+pub fn sample_settings() -> Settings {
+    toml::from_str(SAMPLE_SETTINGS).expect("the sample parses")
 }
 
-pub fn flavors(names: &mut Names) -> Vec<Flavor> {
+pub fn sample_machine_types(names: &mut Names) -> Vec<Flavor> {
     let make = |label: &str, cpus: f64, hourly: f64| WireMachineType {
         label: label.into(),
         cpus,
@@ -181,7 +181,7 @@
 }
 
 /// A machine type of 32 CPUs in these zones, as the cloud tells it.
-pub fn large(yards: &[&str]) -> WireMachineType {
+pub fn large_machine_type(yards: &[&str]) -> WireMachineType {
     WireMachineType {
         label: "large".into(),
         cpus: 32.0,
--- a/crates/core/src/pipelines/awaits.rs
+++ b/crates/core/src/pipelines/awaits.rs
@@ -18,7 +18,7 @@
 
 /// What is known of a job that a submission names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Named {
+pub enum DependencyState {
     Open,
     Done,
     Cancelled,
@@ -26,82 +26,82 @@
     /// Being recorded: its user has not been told that it is accepted; or its record can't be read.
     Unrecorded,
     /// Neither open nor among the last that ended: the records have to be asked.
-    Unknown,
+    NotInMemory,
     /// Surely never accepted.
-    Never,
+    NeverAccepted,
 }
 
 /// What a job that is to wait comes to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Awaits {
+pub enum DependencyCheck {
     /// Waits for these; none: nothing is missing.
     Open(Vec<Arc<str>>),
     /// One of them is cancelled, and so is it.
     Cancelled,
     /// The records have to be asked about these.
-    Ask(Vec<String>),
+    NeedsLookup(Vec<String>),
     /// One of them is just being recorded.
-    Later,
-    Never(String),
+    RetryLater,
+    NeverAccepted(String),
     Service(String),
 }
 
 impl LeaderState {
-    fn named(&self, uid: &str) -> Named {
+    fn named(&self, uid: &str) -> DependencyState {
         let Some((id, job)) = self.job(uid) else {
             return match self.final_records.get(uid) {
-                _ if self.unreadable.job_reason(uid).is_some() => Named::Unrecorded,
-                Some(f) if f.done => Named::Done,
-                Some(_) => Named::Cancelled,
-                None => Named::Unknown,
+                _ if self.unreadable.job_reason(uid).is_some() => DependencyState::Unrecorded,
+                Some(f) if f.done => DependencyState::Done,
+                Some(_) => DependencyState::Cancelled,
+                None => DependencyState::NotInMemory,
             };
         };
         let saved = |v: Option<u64>| v.is_some_and(|v| self.is_saved(&RecordKey::Job(id), v));
         match () {
-            () if !self.is_accepted(id, job) || job.outcome_unknown => Named::Unrecorded,
-            () if job.spec.shape == JobKind::Service => Named::Service,
-            () if saved(job.cancel_ver) => Named::Cancelled,
-            () if job.is_cancelled() => Named::Open,
-            () if saved(job.final_ver) => Named::Done,
-            () => Named::Open,
+            () if !self.is_accepted(id, job) || job.outcome_unknown => DependencyState::Unrecorded,
+            () if job.spec.shape == JobKind::Service => DependencyState::Service,
+            () if saved(job.cancel_ver) => DependencyState::Cancelled,
+            () if job.is_cancelled() => DependencyState::Open,
+            () if saved(job.final_ver) => DependencyState::Done,
+            () => DependencyState::Open,
         }
     }
 
     /// What becomes of a job that names these; `read` is what the records said of some.
-    pub fn look_at_awaits(&self, uids: &[String], read: &HashMap<String, Named>) -> Awaits {
+    pub fn check_dependencies(&self, uids: &[String], read: &HashMap<String, DependencyState>) -> DependencyCheck {
         let (mut open, mut ask, mut cancelled, mut later) = (vec![], vec![], false, false);
         for uid in uids {
             let known = match self.named(uid) {
-                Named::Unknown => read.get(uid).copied().unwrap_or(Named::Unknown),
+                DependencyState::NotInMemory => read.get(uid).copied().unwrap_or(DependencyState::NotInMemory),
                 known => known,
             };
             match known {
-                Named::Open => open.push(Arc::from(uid.as_str())),
-                Named::Done => {}
-                Named::Cancelled => cancelled = true,
-                Named::Service => return Awaits::Service(uid.clone()),
-                Named::Unrecorded => later = true,
-                Named::Unknown => ask.push(uid.clone()),
-                Named::Never => return Awaits::Never(uid.clone()),
+                DependencyState::Open => open.push(Arc::from(uid.as_str())),
+                DependencyState::Done => {}
+                DependencyState::Cancelled => cancelled = true,
+                DependencyState::Service => return DependencyCheck::Service(uid.clone()),
+                DependencyState::Unrecorded => later = true,
+                DependencyState::NotInMemory => ask.push(uid.clone()),
+                DependencyState::NeverAccepted => return DependencyCheck::NeverAccepted(uid.clone()),
             }
         }
         match () {
-            () if !ask.is_empty() => Awaits::Ask(ask),
-            () if later => Awaits::Later,
-            () if cancelled => Awaits::Cancelled,
-            () => Awaits::Open(open),
+            () if !ask.is_empty() => DependencyCheck::NeedsLookup(ask),
+            () if later => DependencyCheck::RetryLater,
+            () if cancelled => DependencyCheck::Cancelled,
+            () => DependencyCheck::Open(open),
         }
     }
 
     /// How long the last of these jobs is expected to take yet, in seconds.
-    pub fn expected_wait(&self, on: &[Arc<str>], now: u64) -> f64 {
+    pub fn expected_wait_s(&self, on: &[Arc<str>], now: u64) -> f64 {
         let eta = on.iter().filter_map(|uid| self.job(uid)).map(|(_, j)| j.eta).max();
         eta.map_or(0.0, |eta| (eta - now as i64).max(0) as f64 / 1000.0)
     }
 
     /// Takes in a job that waits for these jobs, or for none, and has its record written; `dead`:
     /// one that it names is cancelled.
-    pub fn take_in(
+    pub fn add_submitted_job(
         &mut self,
         spec: JobSpec,
         body: JobBody,
@@ -124,8 +124,8 @@
             }
             self.cancel(id, now);
         } else if !open.is_empty() {
-            self.park(id, open, now);
-            self.follow(now);
+            self.block_on_dependencies(id, open, now);
+            self.propagate_dependencies(now);
         }
         id
     }
@@ -155,8 +155,8 @@
     }
 
     /// Makes a job wait for others: it is in no queue, and uses nothing.
-    pub fn park(&mut self, id: JobId, on: Vec<Arc<str>>, now: u64) {
-        let wait = secs_to_ms(self.expected_wait(&on, now));
+    pub fn block_on_dependencies(&mut self, id: JobId, on: Vec<Arc<str>>, now: u64) {
+        let wait = secs_to_ms(self.expected_wait_s(&on, now));
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let turn = (job.eligible_at_ms, id);
         job.eta += (now as i64 - job.accepted_mono_ms) + wait;
@@ -173,7 +173,7 @@
                 None => {
                     self.dependencies.unread_outcomes.insert(uid.clone());
                 }
-                Some((_, job)) if job.is_cancelled() && self.named(&uid) == Named::Cancelled => {
+                Some((_, job)) if job.is_cancelled() && self.named(&uid) == DependencyState::Cancelled => {
                     self.dependencies.record_outcome(uid.clone(), false);
                 }
                 Some((_, job)) => {
@@ -188,7 +188,7 @@
 
     /// Waiting jobs that are expected to be ready within so many seconds, and so in the order in
     /// which they are.
-    pub fn soon_ready(&self, within_s: f64, now: u64) -> Vec<JobId> {
+    pub fn jobs_ready_within(&self, within_s: f64, now: u64) -> Vec<JobId> {
         let mut soon: Vec<(i64, JobId)> = vec![];
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_open() && !j.pending_dependencies.is_empty()) {
             // The last of many is told by the first that is far away.
--- a/crates/core/src/pipelines/follow.rs
+++ b/crates/core/src/pipelines/follow.rs
@@ -8,20 +8,20 @@
 use copperhaven_wire::jobs::Priority;
 
 /// Steps at a time, so that fans and chains of thousands never hold the leader up.
-pub(super) const STEPS: usize = 1000;
+pub(super) const MAX_PROPAGATION_STEPS: usize = 1000;
 
 /// With fewer records to be written, ends that follow from others are recorded, too.
-pub(super) const CALM: usize = 16;
+pub(super) const DERIVED_ENDS_MAX_UNWRITTEN: usize = 16;
 
 impl LeaderState {
     /// Carries what is recorded on to the jobs that wait, so many steps at a time.
-    pub fn follow(&mut self, now: u64) {
-        while self.write_queue.dirty_count() < CALM
+    pub fn propagate_dependencies(&mut self, now: u64) {
+        while self.write_queue.dirty_count() < DERIVED_ENDS_MAX_UNWRITTEN
             && let Some(id) = self.dependencies.deferred_finals.pop_front()
         {
             self.finalize_if_over(id);
         }
-        let mut steps = STEPS;
+        let mut steps = MAX_PROPAGATION_STEPS;
         while steps > 0
             && let Some((uid, done)) = self.dependencies.unpropagated_outcomes.front().cloned()
         {
@@ -76,7 +76,7 @@
 
     /// How this job ended, or whether it is cancelled, can't be read. Nothing is told of those that
     /// need it, directly or through others: an earlier leader may have called them cancelled.
-    pub fn doubt(&mut self, uid: &str) {
+    pub fn mark_outcome_unknown(&mut self, uid: &str) {
         let mut next: Vec<JobId> = self.dependencies.dependents.get(uid).cloned().unwrap_or_default();
         while let Some(id) = next.pop() {
             let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_open() && !j.outcome_unknown) else {
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -1,8 +1,8 @@
 use super::awaits::*;
 use super::follow::*;
-use crate::admission::shape::admit_shape;
-use crate::for_tests::{add_job, cell, commit, exchange, record, report};
-use crate::records::{Change, FinalRecord, LinksRecord, Record, Waits};
+use crate::admission::shape::resolve_spec;
+use crate::for_tests::{add_job, cell, commit, exchange_report, job_record, report};
+use crate::records::{Change, FinalRecord, DependenciesRecord, Record, DependencyWait};
 use crate::state::cell::LeaderState;
 use crate::state::names::*;
 use crate::takeover::{Records, rebuild};
@@ -18,27 +18,27 @@
 
 /// A job that waits for others, as a submission takes it in.
 fn add_waiting(c: &mut LeaderState, uid: &str, on: &[&str], edit: fn(&mut JobBody)) -> JobId {
-    let names = match c.look_at_awaits(&ids(on), &HashMap::new()) {
-        Awaits::Open(open) => (open, false),
-        Awaits::Cancelled => (vec![], true),
+    let names = match c.check_dependencies(&ids(on), &HashMap::new()) {
+        DependencyCheck::Open(open) => (open, false),
+        DependencyCheck::Cancelled => (vec![], true),
         other => panic!("{uid} on {on:?}: {other:?}"),
     };
     let mut body = crate::for_tests::body(uid);
     edit(&mut body);
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
-    let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
-    c.take_in(spec, body, names, T0, T0)
+    let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
+    c.add_submitted_job(spec, body, names, T0, T0)
 }
 
 fn finish(c: &mut LeaderState, uid: &str) {
     let id = c.jobs.id_of(uid).expect("known");
     for task in 0..c.jobs[&id].spec.tasks {
-        c.task_done(id, task);
+        c.mark_task_done(id, task);
     }
 }
 
 fn status(c: &LeaderState, uid: &str) -> String {
-    c.show(uid).map_or("none".into(), |s| s.status)
+    c.job_status(uid).map_or("none".into(), |s| s.status)
 }
 
 /// The records that a transaction left, for the next leader.
@@ -48,7 +48,7 @@
         let stamp = 2000 + n as u64;
         match v.clone() {
             Record::Job(x) => read.jobs.push((path.clone(), *x, stamp)),
-            Record::Links(x) => read.links.push((path.clone(), x, stamp)),
+            Record::Links(x) => read.dependency_lists.push((path.clone(), x, stamp)),
             Record::Done(x) => read.done.push((path.clone(), x, stamp)),
             _ => {}
         }
@@ -59,8 +59,8 @@
 fn apply(store: &mut BTreeMap<String, Record>, changes: Vec<Change>) {
     for change in changes {
         match change {
-            Change::Put { put, v, .. } => store.insert(put, v),
-            Change::Delete { delete } => store.remove(&delete),
+            Change::Put { path: put, value: v, .. } => store.insert(put, v),
+            Change::Delete { path: delete } => store.remove(&delete),
         };
     }
 }
@@ -80,7 +80,7 @@
         };
         c.dependencies.resolve_outcome(&uid, last);
     }
-    c.follow(T0);
+    c.propagate_dependencies(T0);
 }
 
 #[test]
@@ -92,28 +92,28 @@
     let id = add_waiting(&mut c, "wk-3", &["wk-1", "wk-2", "wk-1"], |b| b.tasks = 2);
     assert_eq!(status(&c, "wk-3"), "none", "not before its links are recorded");
     commit(&mut c);
-    let shown = c.show("wk-3").expect("accepted");
+    let shown = c.job_status("wk-3").expect("accepted");
     assert_eq!((shown.status.as_str(), shown.pending_dependencies.len()), ("queued", 2));
     assert!(["wk-1", "wk-2"].contains(&shown.blocked_by.expect("a step").uid.as_str()));
     // It is in no queue: not ranked, no load, no place, no machines rented.
     assert!(
-        c.ranked(&c.who_needs(), T0).iter().all(|r| r.id != id)
+        c.ranked_jobs(&c.compute_deficits(), T0).iter().all(|r| r.id != id)
             && c.jobs[&id].routed_by_pool.iter().all(|r| *r == 0)
     );
     finish(&mut c, "wk-1");
     commit(&mut c);
-    c.follow(T0);
+    c.propagate_dependencies(T0);
     finish(&mut c, "wk-2");
-    c.follow(T0 + 1);
+    c.propagate_dependencies(T0 + 1);
     assert!(!c.jobs[&id].pending_dependencies.is_empty(), "done, but that is not recorded yet");
     commit(&mut c);
-    c.follow(T0 + 5000);
+    c.propagate_dependencies(T0 + 5000);
     assert!(c.jobs[&id].pending_dependencies.is_empty());
-    exchange(&mut c, &report(1, 1, 7, &[]), T0 + 5000);
+    exchange_report(&mut c, &report(1, 1, 7, &[]), T0 + 5000);
     let mut c2 = cell();
     std::mem::swap(&mut c, &mut c2);
     // Its own record says so before it starts: placed only once that is safe.
-    let orders = exchange(&mut c2, &report(1, 2, 7, &[]), T0 + 5500);
+    let orders = exchange_report(&mut c2, &report(1, 2, 7, &[]), T0 + 5500);
     assert_eq!(orders.len(), 2, "{orders:?}");
     assert_eq!(c2.jobs[&id].eligible_mono_ms, T0 as i64 + 5000);
 }
@@ -128,16 +128,16 @@
     c.on_report(&report(1, 1, 7, &[]), T0);
     finish(&mut c, "wk-1");
     commit(&mut c);
-    c.follow(T0);
-    c.place(T0);
+    c.propagate_dependencies(T0);
+    c.run_placement_pass(T0);
     assert_eq!(c.jobs[&id].waiting.len(), 1);
     let put = commit(&mut c).into_iter().find_map(|x| match x {
-        Change::Put { put, v: Record::Job(r), .. } if put == "j/wk-2" => Some(r),
+        Change::Put { path: put, value: Record::Job(r), .. } if put == "j/wk-2" => Some(r),
         _ => None,
     });
     let r = put.expect("recorded");
-    assert!(r.waits.is_none() && r.job.machine_types.is_none());
-    c.place(T0 + 100);
+    assert!(r.dependency_wait.is_none() && r.job.machine_types.is_none());
+    c.run_placement_pass(T0 + 100);
     assert!(c.jobs[&id].waiting.is_empty());
 }
 
@@ -149,7 +149,7 @@
     let ended = add_job(&mut c, "wk-3", |_| ());
     add_job(&mut c, "wk-4", |b| (b.kind, b.deadline_s) = (JobKind::Service, None));
     commit(&mut c);
-    c.task_done(done, 0);
+    c.mark_task_done(done, 0);
     c.cancel(ended, T0);
     commit(&mut c);
     let dying = add_job(&mut c, "wk-5", |_| ());
@@ -157,29 +157,29 @@
     c.cancel(dying, T0);
     add_job(&mut c, "wk-6", |_| ());
     let read = HashMap::from([
-        ("wk-11".to_string(), Named::Done),
-        ("wk-12".into(), Named::Cancelled),
-        ("wk-13".into(), Named::Never),
-        ("wk-14".into(), Named::Open),
+        ("wk-11".to_string(), DependencyState::Done),
+        ("wk-12".into(), DependencyState::Cancelled),
+        ("wk-13".into(), DependencyState::NeverAccepted),
+        ("wk-14".into(), DependencyState::Open),
     ]);
-    let open = |uids: &[&str]| Awaits::Open(uids.iter().map(|u| Arc::from(*u)).collect());
-    let cases: [(&[&str], Awaits); 12] = [
+    let open = |uids: &[&str]| DependencyCheck::Open(uids.iter().map(|u| Arc::from(*u)).collect());
+    let cases: [(&[&str], DependencyCheck); 12] = [
         (&[], open(&[])),
         (&["wk-1"], open(&["wk-1"])),
         (&["wk-2"], open(&[])),
         (&["wk-1", "wk-2"], open(&["wk-1"])),
-        (&["wk-1", "wk-3"], Awaits::Cancelled),
-        (&["wk-4"], Awaits::Service("wk-4".into())),
+        (&["wk-1", "wk-3"], DependencyCheck::Cancelled),
+        (&["wk-4"], DependencyCheck::Service("wk-4".into())),
         // Cancelled, but that is not recorded yet: a link like any other.
         (&["wk-5"], open(&["wk-5"])),
-        (&["wk-6"], Awaits::Later),
-        (&["wk-9", "wk-1"], Awaits::Ask(vec!["wk-9".into()])),
+        (&["wk-6"], DependencyCheck::RetryLater),
+        (&["wk-9", "wk-1"], DependencyCheck::NeedsLookup(vec!["wk-9".into()])),
         (&["wk-11", "wk-14"], open(&["wk-14"])),
-        (&["wk-12", "wk-1"], Awaits::Cancelled),
-        (&["wk-13", "wk-1"], Awaits::Never("wk-13".into())),
+        (&["wk-12", "wk-1"], DependencyCheck::Cancelled),
+        (&["wk-13", "wk-1"], DependencyCheck::NeverAccepted("wk-13".into())),
     ];
     for (uids, expected) in cases {
-        assert_eq!(c.look_at_awaits(&ids(uids), &read), expected, "{uids:?}");
+        assert_eq!(c.check_dependencies(&ids(uids), &read), expected, "{uids:?}");
     }
 }
 
@@ -205,14 +205,14 @@
         finish(&mut c, "wk-7");
         apply(&mut store, commit(&mut c));
         c.cancel(c.jobs.id_of("wk-1").expect("known"), T0);
-        c.follow(T0);
+        c.propagate_dependencies(T0);
         assert_eq!(status(&c, "wk-5"), "queued", "nobody was told yet");
         if crash != "before the record" {
             // One transaction: the cancelled job's record and no more.
-            let batch = c.batch(2).expect("the cancelled job's record");
-            c.applied(&batch, 5000);
+            let batch = c.next_batch(2).expect("the cancelled job's record");
+            c.on_applied(&batch, 5000);
             apply(&mut store, batch.changes);
-            c.follow(T0);
+            c.propagate_dependencies(T0);
             for uid in ["wk-1", "wk-2", "wk-3", "wk-4", "wk-5"] {
                 assert_eq!(status(&c, uid), "aborted", "{uid}");
             }
@@ -232,13 +232,13 @@
         assert!(c.jobs[&c.jobs.id_of("wk-6").expect("known")].pending_dependencies.is_empty(), "7 was done");
         for _ in 0..10 {
             commit(&mut c);
-            c.follow(T0);
+            c.propagate_dependencies(T0);
         }
         if crash != "before the record" {
             assert!(c.final_records.get("wk-5").is_some_and(|f| !f.done));
             // One that names a cancelled job is accepted, and aborted.
-            let named = c.look_at_awaits(&ids(&["wk-5"]), &HashMap::new());
-            assert_eq!(named, Awaits::Cancelled);
+            let named = c.check_dependencies(&ids(&["wk-5"]), &HashMap::new());
+            assert_eq!(named, DependencyCheck::Cancelled);
             add_waiting(&mut c, "wk-8", &["wk-6", "wk-5"], |_| ());
             commit(&mut c);
             assert_eq!(status(&c, "wk-8"), "aborted");
@@ -257,7 +257,7 @@
     finish(&mut c, "wk-1");
     c.cancel(c.jobs.id_of("wk-1").expect("known"), T0);
     commit(&mut c);
-    c.follow(T0);
+    c.propagate_dependencies(T0);
     assert_eq!((status(&c, "wk-1").as_str(), status(&c, "wk-2").as_str()), ("done", "queued"));
     assert!(c.jobs[&c.jobs.id_of("wk-2").expect("known")].pending_dependencies.is_empty());
 }
@@ -276,17 +276,17 @@
             let id = add_job(&mut c, &format!("wk-{i}"), |b| {
                 (b.tasks, b.deadline_s, b.priority) = (1, None, Priority::Low);
             });
-            c.park(id, on.to_vec(), T0);
+            c.block_on_dependencies(id, on.to_vec(), T0);
             c.mark_job_saved_for_test(id);
         }
         // The last one's priority flows back to the first, some steps at a time.
         let last = c.jobs.id_of(format!("wk-{n}").as_str()).expect("known");
         let id = add_job(&mut c, "wk-9999", |b| b.priority = Priority::High);
-        c.park(id, vec![c.jobs[&last].spec.uid.clone()], T0);
+        c.block_on_dependencies(id, vec![c.jobs[&last].spec.uid.clone()], T0);
         c.mark_job_saved_for_test(id);
         let rounds = |c: &mut LeaderState| {
-            for _ in 0..n / STEPS + 3 {
-                c.follow(T0);
+            for _ in 0..n / MAX_PROPAGATION_STEPS + 3 {
+                c.propagate_dependencies(T0);
             }
         };
         rounds(&mut c);
@@ -294,13 +294,13 @@
         assert_eq!(c.jobs[&first].spec.precedence, Priority::High);
         assert!(c.jobs[&first].effective_deadline.is_some());
         c.cancel(first, T0);
-        let batch = c.batch(16).expect("its record");
-        c.applied(&batch, 9000);
+        let batch = c.next_batch(16).expect("its record");
+        c.on_applied(&batch, 9000);
         rounds(&mut c);
         for i in [1, n / 2, n] {
             assert_eq!(status(&c, &format!("wk-{i}")), "aborted");
         }
-        assert!(c.write_queue.dirty_count() <= CALM + 1, "their ends are recorded when there is time");
+        assert!(c.write_queue.dirty_count() <= DERIVED_ENDS_MAX_UNWRITTEN + 1, "their ends are recorded when there is time");
     }
 }
 
@@ -321,20 +321,20 @@
         let mut store = BTreeMap::new();
         let mut seen = false;
         for rev in 0..200 {
-            let Some(batch) = c.batch(5) else { break };
-            assert!(batch.changes.iter().all(|x| x.bytes() <= 2048));
-            c.applied(&batch, 3000 + rev);
+            let Some(batch) = c.next_batch(5) else { break };
+            assert!(batch.changes.iter().all(|x| x.encoded_len() <= 2048));
+            c.on_applied(&batch, 3000 + rev);
             seen |= batch.changes.iter().any(|x| x.path() == "j/wk-1");
             apply(&mut store, batch.changes);
             // Accepted means that all of its links are recorded.
             let parts = store.keys().filter(|p| p.starts_with("a/")).count();
-            assert_eq!(seen, c.show("wk-1").is_some());
+            assert_eq!(seen, c.job_status("wk-1").is_some());
             assert!(!seen || parts as u32 == c.jobs[&c.jobs.id_of("wk-1").expect("known")].dependency_parts);
         }
         assert!(seen);
         let listed = |v: &Record| match v {
-            Record::Job(r) => r.waits.as_ref().map_or(0, |w| w.on.len()),
-            Record::Links(r) => r.on.len(),
+            Record::Job(r) => r.dependency_wait.as_ref().map_or(0, |w| w.dependencies.len()),
+            Record::Links(r) => r.dependencies.len(),
             _ => 0,
         };
         assert_eq!(store.values().map(listed).sum::<usize>(), n);
@@ -342,7 +342,7 @@
         assert_eq!(c.jobs[&c.jobs.id_of("wk-1").expect("known")].pending_dependencies.len(), n);
     }
     // Parts of a submission that was never accepted are removed, unless it comes again.
-    let part = LinksRecord { on: ids(&["wk-8"]) };
+    let part = DependenciesRecord { dependencies: ids(&["wk-8"]) };
     let store = BTreeMap::from([("a/wk-5/0".to_string(), Record::Links(part))]);
     let mut c = successor(&store);
     assert!(commit(&mut c).iter().any(|x| x.path() == "a/wk-5/0"));
@@ -373,11 +373,11 @@
     assert_eq!(standing(&c, "wk-1"), (Priority::High, Some(50_000)));
     assert_eq!(standing(&c, "wk-2"), (Priority::Low, None));
     // What its tasks use is counted under the new priority.
-    exchange(&mut c, &report(1, 1, 7, &[]), T0);
-    exchange(&mut c, &report(1, 2, 7, &[]), T0 + 500);
+    exchange_report(&mut c, &report(1, 1, 7, &[]), T0);
+    exchange_report(&mut c, &report(1, 2, 7, &[]), T0 + 500);
     c.check_invariants();
     c.cancel(last, T0 + 600);
-    c.follow(T0 + 600);
+    c.propagate_dependencies(T0 + 600);
     assert_eq!(standing(&c, "wk-3"), (Priority::Low, None), "nobody needs it any more");
     assert_eq!(standing(&c, "wk-1"), (Priority::Low, None));
     c.check_invariants();
@@ -391,19 +391,19 @@
     c.settings = Arc::new(s);
     add_job(&mut c, "wk-1", |b| (b.estimate_s, b.deadline_s) = (50.0, None));
     commit(&mut c);
-    let wait = c.expected_wait(&[Arc::from("wk-1")], T0);
+    let wait = c.expected_wait_s(&[Arc::from("wk-1")], T0);
     assert_eq!(wait, 50.0);
-    assert_eq!(c.expected_wait(&[], T0), 0.0);
+    assert_eq!(c.expected_wait_s(&[], T0), 0.0);
     let spec = c.jobs[&c.jobs.id_of("wk-1").expect("known")].spec.clone();
     let mut spec = (*spec).clone();
     (spec.estimate_s, spec.deadline_s) = (20.0, Some(60.0));
     // 20 s of work in 60 s; 50 of them gone, the same work is mostly late.
     for (wait, admitted) in [(0.0, true), (10.0, true), (50.0, false), (500.0, false)] {
-        assert_eq!(c.admit_after(&spec, wait, T0).is_ok(), admitted, "{wait}");
+        assert_eq!(c.admit_after_wait(&spec, wait, T0).is_ok(), admitted, "{wait}");
     }
     // With R = 1, as it starts, only what no machine could ever take is refused.
     let c = cell();
-    assert!(c.admit_after(&spec, 500.0, T0).is_ok());
+    assert!(c.admit_after_wait(&spec, 500.0, T0).is_ok());
 }
 
 #[test]
@@ -425,8 +425,8 @@
             r.machine = format!("n-{n}");
             r
         };
-        exchange(&mut c, &from(1, 1), T0);
-        exchange(&mut c, &from(2, 1), T0);
+        exchange_report(&mut c, &from(1, 1), T0);
+        exchange_report(&mut c, &from(2, 1), T0);
         let on: Vec<usize> = c.machines.values().map(|m| m.assignments.len()).collect();
         assert_eq!(on.iter().sum::<usize>(), 1, "what waits has no place");
         // (after so many seconds, is it soon ready, is the idle machine given back?)
@@ -435,8 +435,8 @@
             for n in [1, 2] {
                 c.on_report(&from(n, 1 + after), now);
             }
-            assert_eq!(c.soon_ready(10.0, now).len(), usize::from(soon && waits), "{after}");
-            assert_eq!(!c.demand(now).is_empty(), soon && waits, "{after}");
+            assert_eq!(c.jobs_ready_within(10.0, now).len(), usize::from(soon && waits), "{after}");
+            assert_eq!(!c.rental_demand(now).is_empty(), soon && waits, "{after}");
         }
         let now = T0 + 25_000;
         c.plan_rentals(now);
@@ -448,8 +448,8 @@
 #[test]
 fn a_record_that_waits_keeps_what_it_will_use() {
     let mut store = BTreeMap::new();
-    let mut r = record("wk-2");
-    r.waits = Some(Waits { on: ids(&["wk-1"]), berths: Some(ids(&["big"])), parts: 0 });
+    let mut r = job_record("wk-2");
+    r.dependency_wait = Some(DependencyWait { dependencies: ids(&["wk-1"]), machine_types: Some(ids(&["big"])), parts: 0 });
     r.job.machine_types = Some(vec![]);
     store.insert("j/wk-2".to_string(), Record::Job(Box::new(r)));
     let mut c = successor(&store);
@@ -465,7 +465,7 @@
     read_ends(&mut c, &store);
     assert_eq!(c.queue.len(), 1, "nothing is missing");
     let r = commit(&mut c).into_iter().find_map(|x| match x {
-        Change::Put { v: Record::Job(r), .. } => Some(r),
+        Change::Put { value: Record::Job(r), .. } => Some(r),
         _ => None,
     });
     assert_eq!(r.expect("recorded").job.machine_types, Some(ids(&["big"])));
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs: all their places at once, or none.
 
-use crate::placement::slots::Slot;
+use crate::placement::slots::FreeCapacity;
 use crate::state::cell::LeaderState;
 use crate::state::job::{JobSpec, WaitReason};
 use crate::state::machine::RESERVATION_MS;
@@ -12,7 +12,7 @@
         &mut self,
         id: JobId,
         spec: &JobSpec,
-        slots: &mut [Slot],
+        slots: &mut [FreeCapacity],
         now: u64,
         no_place: bool,
     ) -> WaitReason {
@@ -32,25 +32,25 @@
             }
         }
         let need = job.waiting.len();
-        if !self.limit_within_reach(spec, need) {
+        if !self.can_fit_limit_by_preemption(spec, need) {
             return WaitReason::TeamLimit;
         }
         if no_place {
             return WaitReason::NoRoom;
         }
-        let order = self.candidates(id, spec, slots);
+        let order = self.candidate_indices(id, spec, slots);
         let Some(plan) = self.gang_plan(id, spec, slots, &order, need) else {
             return WaitReason::NoRoom;
         };
-        if self.team_room(spec) < need {
+        if self.team_headroom(spec) < need {
             // The team's lower work is stopped only when there is room to gain by it, and that room
             // is kept meanwhile; else both would be taken again at once, over and over.
-            if !self.make_team_room(id, spec, now) {
+            if !self.preempt_for_team_limit(id, spec, now) {
                 return WaitReason::TeamLimit;
             }
             for (i, _) in plan {
                 slots[i].reserved = Some(id);
-                if let Some(m) = self.machines.get_mut(&slots[i].mid) {
+                if let Some(m) = self.machines.get_mut(&slots[i].machine_id) {
                     m.reserved = Some((id, now + RESERVATION_MS));
                 }
             }
@@ -65,11 +65,11 @@
         }
         for (i, n) in plan {
             let tasks: Vec<u32> = self.jobs[&id].waiting.first(n);
-            let mid = slots[i].mid;
+            let mid = slots[i].machine_id;
             for task in tasks {
                 self.assign(mid, id, task, attempt, now);
             }
-            slots[i].take(spec, n);
+            slots[i].allocate(spec, n);
             if let Some(m) = self.machines.get_mut(&mid)
                 && m.reserved.is_some_and(|(r, _)| r == id)
             {
@@ -91,7 +91,7 @@
         &self,
         id: JobId,
         spec: &JobSpec,
-        slots: &[Slot],
+        slots: &[FreeCapacity],
         order: &[usize],
         need: u32,
     ) -> Option<Vec<(usize, u32)>> {
@@ -119,9 +119,9 @@
                 let zone = slots[*i].zone;
                 let used = by_zone.entry(zone).or_insert(0);
                 let n = slots[*i]
-                    .fits(spec)
+                    .fitting_tasks(spec)
                     .min(left)
-                    .min(self.zone_room(id, zone).saturating_sub(*used));
+                    .min(self.zone_headroom(id, zone).saturating_sub(*used));
                 if n > 0 {
                     plan.push((*i, n));
                     *used += n;
--- a/crates/core/src/placement/limit_tests.rs
+++ b/crates/core/src/placement/limit_tests.rs
@@ -1,6 +1,6 @@
 //! What is stopped for a team's limit: gathered once in a pass, against looking through all that runs each time.
 
-use crate::for_tests::{T0, TERM, add_job, cell, commit, report};
+use crate::for_tests::{START_MS, TERM, add_job, cell, commit, report};
 use crate::state::cell::LeaderState;
 use crate::state::job::EPS;
 use crate::state::machine::{Assignment, ObservedState};
@@ -53,7 +53,7 @@
 /// A cell whose machines run tasks of all these jobs since various times.
 fn busy(rng: &mut StdRng) -> (LeaderState, Vec<JobId>, Vec<MachineId>, u64) {
     let mut c = cell();
-    let now = T0 + 100_000;
+    let now = START_MS + 100_000;
     let jobs: Vec<JobId> = JOBS
         .iter()
         .enumerate()
@@ -67,7 +67,7 @@
     let mut mids = vec![];
     for n in 0..12 {
         let r = Report { machine: format!("n-{n}"), ..report(1, 1, TERM, &[]) };
-        c.on_report(&r, T0);
+        c.on_report(&r, START_MS);
         mids.push(c.machines.id_of(format!("n-{n}").as_str()).expect("there"));
     }
     for mid in &mids {
@@ -75,10 +75,10 @@
             let id = jobs[rng.random_range(0..jobs.len())];
             let task = c.jobs[&id].waiting.first(1);
             let Some(task) = task.first() else { continue };
-            let mut e = Assignment::new(1, 0, T0);
+            let mut e = Assignment::new(1, 0, START_MS);
             e.observed = ObservedState::Running;
             e.run_sent_with = Some((1, 1));
-            e.running_since = T0 + rng.random_range(0..90_000);
+            e.running_since = START_MS + rng.random_range(0..90_000);
             c.attach(*mid, id, *task, e);
         }
     }
@@ -99,7 +99,7 @@
     };
     for (what, edit) in [("a gang", gang), ("an array", array)] {
         let mut c = cell();
-        let mut now = T0;
+        let mut now = START_MS;
         for n in 0..3 {
             let berth = "big".to_string();
             let r = Report { machine: format!("n-{n}"), machine_type: berth, ..report(1, 1, TERM, &[]) };
@@ -113,7 +113,7 @@
         for _ in 0..100 {
             now += 300;
             c.placement_pending = true;
-            c.place(now);
+            c.run_placement_pass(now);
             commit(&mut c);
             let gone: Vec<(MachineId, JobId, u32)> = c
                 .machines
@@ -147,7 +147,7 @@
             let spec = c.jobs[&asker].spec.clone();
             let lack = Usage { cpus: rng.random_range(0..8) as f64 * 0.5, gpus: 0.0 };
             let plain = plainly(&c, asker, lack, now);
-            let stops = c.stops_for((&spec, c.jobs[&asker].guaranteed), lack, now);
+            let stops = c.select_limit_victims((&spec, c.jobs[&asker].guaranteed), lack, now);
             let sum = stops.as_ref().map(|all| {
                 let lost: f64 = all.iter().map(|s| s.lost_s).sum();
                 (lost, all.iter().map(|s| s.usage.cpus).sum::<f64>())
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -9,7 +9,7 @@
 
 impl LeaderState {
     /// How many more tasks of this shape the team's limit allows.
-    pub fn team_room(&self, spec: &JobSpec) -> u32 {
+    pub fn team_headroom(&self, spec: &JobSpec) -> u32 {
         let team = &self.settings.deployment.teams[spec.team.index()];
         let (mut used, held) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
         used.cpus += held.cpus;
@@ -23,7 +23,7 @@
 
     /// Keeps so much of the team's limit for this job that those served after it don't take what
     /// gets free.
-    pub(crate) fn hold_limit(&mut self, id: JobId, spec: &JobSpec) {
+    pub(crate) fn reserve_team_limit(&mut self, id: JobId, spec: &JobSpec) {
         let n = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
         let n = if spec.shape == JobKind::Array { n.min(1.0) } else { n };
         self.team_usage.hold(spec, n);
@@ -31,7 +31,7 @@
 
     /// Would the team's limit allow `n` tasks if all its lower work were stopped? Gangs are not
     /// stopped for it.
-    pub(crate) fn limit_within_reach(&self, spec: &JobSpec, n: u32) -> bool {
+    pub(crate) fn can_fit_limit_by_preemption(&self, spec: &JobSpec, n: u32) -> bool {
         let team = &self.settings.deployment.teams[spec.team.index()];
         let mut used = self.team_usage.held(spec.team);
         let split = self.team_usage.usage_by_priority(spec.team);
@@ -46,7 +46,7 @@
 
     /// Does the team have work of lower priority on machines, gangs apart? Only that is stopped for
     /// its limit.
-    pub(crate) fn lower_work(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn has_lower_priority_work(&self, spec: &JobSpec) -> bool {
         let lower = &self.team_usage.usage_by_priority(spec.team).non_gang[spec.precedence as usize + 1..];
         lower.iter().any(|u| u.cpus > EPS || u.gpus > EPS)
     }
@@ -86,7 +86,7 @@
 
     /// What is to be stopped of a team, the cheapest first, so that so much more of its limit is free. None: there is
     /// too little.
-    pub(crate) fn stops_for(
+    pub(crate) fn select_limit_victims(
         &mut self,
         (spec, guaranteed): (&JobSpec, bool),
         lack: Usage,
@@ -138,7 +138,7 @@
 
     /// A job that waits for its own team's limit has the team's work of lower priority stopped,
     /// the cheapest first. Returns whether it now waits for tasks that are being stopped.
-    pub(crate) fn make_team_room(&mut self, id: JobId, spec: &JobSpec, now: u64) -> bool {
+    pub(crate) fn preempt_for_team_limit(&mut self, id: JobId, spec: &JobSpec, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let team = &self.settings.deployment.teams[spec.team.index()];
         let n = if spec.shape == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
@@ -149,7 +149,7 @@
             gpus: used.gpus + held.gpus + spec.gpus * n - team.gpus_max - stopping.gpus,
         };
         let guaranteed = job.guaranteed;
-        let Some(stops) = self.stops_for((spec, guaranteed), lack, now) else { return false };
+        let Some(stops) = self.select_limit_victims((spec, guaranteed), lack, now) else { return false };
         if !stops.is_empty() {
             let count = stops.len();
             tracing::info!("preempt {count} tasks for {}: its team's limit", spec.uid);
@@ -159,13 +159,13 @@
                 .jobs
                 .get(&s.id)
                 .map_or(0.0, |v| if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 });
-            self.count_stop(s.machine_id, s.id, s.task, now);
+            self.record_preemption(s.machine_id, s.id, s.task, now);
             if let Some(v) = self.jobs.get_mut(&s.id) {
                 v.preempted += 1;
             }
             self.stop_task(s.machine_id, s.id, s.task, now, grace);
         }
-        self.hold_limit(id, spec);
+        self.reserve_team_limit(id, spec);
         true
     }
 }
--- a/crates/core/src/placement/need_tests.rs
+++ b/crates/core/src/placement/need_tests.rs
@@ -1,7 +1,7 @@
 //! The order of service and who makes room while somebody is served too little: tables.
 
-use crate::for_tests::{T0, TERM, add_job, cell, commit, report};
-use crate::records::{Record, SERVICE, ServiceRecord};
+use crate::for_tests::{START_MS, TERM, add_job, cell, commit, report};
+use crate::records::{Record, FAIRNESS_PREFIX, FairnessRecord};
 use crate::state::cell::LeaderState;
 use crate::state::names::*;
 use crate::state::served;
@@ -42,7 +42,7 @@
 
 /// The names of the jobs in the order in which they are served.
 fn order(c: &LeaderState, now: u64) -> Vec<String> {
-    c.ranked(&c.who_needs(), now)
+    c.ranked_jobs(&c.compute_deficits(), now)
         .iter()
         .map(|r| c.jobs[&r.id].spec.uid.trim_start_matches("wk-").into())
         .collect()
@@ -63,29 +63,29 @@
     {
         add_job(&mut c, uid, edit);
     }
-    c.advance_fairness(T0);
+    c.advance_fairness(START_MS);
     let calm = ["2", "3", "1", "4", "5"];
-    assert_eq!(order(&c, T0), calm, "nobody is in need");
+    assert_eq!(order(&c, START_MS), calm, "nobody is in need");
     // Late, but `rush` (aim 600 s) is not: the team's class goes first in the places that it has, least
     // work first. One late job of blue's alone is no famine, nor are guests ever first.
-    c.advance_fairness(T0 + LATE);
+    c.advance_fairness(START_MS + LATE);
     assert!(c.fairness_ledger.has_underserved());
-    let ranked = order(&c, T0 + LATE);
+    let ranked = order(&c, START_MS + LATE);
     assert_eq!(ranked, ["3", "1", "2", "4", "5"]);
     // What blue has done doesn't help what red has not.
     for n in 10..16 {
         let uid = format!("wk-{n}");
         let id = add_job(&mut c, &uid, blue);
-        c.jobs.get_mut(&id).expect("there").eligible_mono_ms = T0 as i64;
+        c.jobs.get_mut(&id).expect("there").eligible_mono_ms = START_MS as i64;
         c.open_fairness(id);
     }
-    c.advance_fairness(T0 + LATE);
-    machines(&mut c, 8, T0 + LATE);
+    c.advance_fairness(START_MS + LATE);
+    machines(&mut c, 8, START_MS + LATE);
     // Now blue is in need as well and has nothing: it goes before red beyond what both have of their
     // shares, side by side.
-    let ranked = c.ranked(&c.who_needs(), T0 + LATE);
+    let ranked = c.ranked_jobs(&c.compute_deficits(), START_MS + LATE);
     let blue = c.names.teams.get("blue").expect("known");
-    assert!(ranked.iter().filter(|r| r.team == blue).all(|r| r.team_need));
+    assert!(ranked.iter().filter(|r| r.team == blue).all(|r| r.team_underserved));
     assert!(ranked[..4].iter().any(|r| r.team == blue));
     assert_eq!(ranked.last().map(|r| c.jobs[&r.id].spec.uid.to_string()), Some("wk-5".into()));
 }
@@ -96,19 +96,19 @@
     // four CPUs a task, though first in the order, found none for minutes.
     for need in [false, true] {
         let mut c = cell();
-        machines(&mut c, 8, T0);
+        machines(&mut c, 8, START_MS);
         let small = add_job(&mut c, "wk-1", |b| (b.tasks, b.deadline_s) = (60, None));
         commit(&mut c);
-        c.place(T0);
+        c.run_placement_pass(START_MS);
         commit(&mut c);
         assert_eq!(running(&c, small), 32);
-        all_run(&mut c, T0 + 1);
+        all_run(&mut c, START_MS + 1);
         let large = add_job(&mut c, "wk-2", |b| {
             (b.class, b.tasks, b.cpus, b.deadline_s) = ("large".into(), 4, 4.0, None);
         });
         // Either it waits since long ago, and its class is late, or it has just come.
         if need {
-            let old = T0 as i64 - 500_000;
+            let old = START_MS as i64 - 500_000;
             for n in 3..9 {
                 let id = add_job(&mut c, &format!("wk-{n}"), |b| b.class = "large".into());
                 let pair = served::fairness_pair(&c.jobs[&large].spec);
@@ -117,8 +117,8 @@
             }
         }
         commit(&mut c);
-        let now = T0 + 2000;
-        c.place(now);
+        let now = START_MS + 2000;
+        c.run_placement_pass(now);
         let kept = c.machines.values().filter(|m| m.reserved.is_some_and(|(id, _)| id == large));
         assert_eq!(kept.count(), if need { 2 } else { 0 }, "a quarter of the machines at most");
         assert!(c.machines.values().all(|m| m.assignments.values().all(|e| e.stop_requested.is_none())));
@@ -127,19 +127,19 @@
         for mid in &ids {
             let (id, task) = *c.machines[mid].assignments.keys().next().expect("full");
             c.detach(*mid, id, task);
-            c.task_done(id, task);
+            c.mark_task_done(id, task);
         }
-        c.place(now + 100);
+        c.run_placement_pass(now + 100);
         let full = c.machines.values().filter(|m| m.used_cpus > 3.5).count();
         assert_eq!(full, if need { 6 } else { 8 });
         // All has run out there: it is placed, and what was kept is free again.
         for mid in &ids {
             for (id, task) in c.machines[mid].assignments.keys().copied().collect::<Vec<_>>() {
                 c.detach(*mid, id, task);
-                c.task_done(id, task);
+                c.mark_task_done(id, task);
             }
         }
-        c.place(now + 200);
+        c.run_placement_pass(now + 200);
         assert_eq!(running(&c, large), 4);
         assert!(c.machines.values().all(|m| m.reserved.is_none_or(|(id, _)| id != large)));
         c.check_invariants();
@@ -153,14 +153,14 @@
         [(true, 0.0, true), (true, 10_000.0, false), (false, 10_000.0, true)]
     {
         let mut c = cell();
-        machines(&mut c, 2, T0);
+        machines(&mut c, 2, START_MS);
         let low = add_job(&mut c, "wk-1", |b| {
             (b.tasks, b.team, b.estimate_s, b.deadline_s) = (8, "blue".into(), 300.0, None);
         });
         commit(&mut c);
-        c.place(T0);
+        c.run_placement_pass(START_MS);
         commit(&mut c);
-        all_run(&mut c, T0 + 1);
+        all_run(&mut c, START_MS + 1);
         c.fairness_ledger.task_preempted(served::fairness_pair(&c.jobs[&low].spec), lost);
         // Somebody else is in need; on other days nothing is bounded.
         let other = (copperhaven_fairness::Team(2), copperhaven_fairness::Class(9));
@@ -171,7 +171,7 @@
             (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 1, 4.0, Priority::High);
         });
         commit(&mut c);
-        c.place(T0 + 2000);
+        c.run_placement_pass(START_MS + 2000);
         let n = c.machines.values().flat_map(|m| m.assignments.values());
         assert_eq!(
             n.filter(|e| e.stop_requested.is_some()).count(),
@@ -188,13 +188,13 @@
     let mut c = cell();
     let id = add_job(&mut c, "wk-1", |b| b.deadline_s = None);
     let pair = served::fairness_pair(&c.jobs[&id].spec);
-    c.advance_fairness(T0);
+    c.advance_fairness(START_MS);
     (0..40).for_each(|_| c.fairness_ledger.submission_refused(pair, copperhaven_fairness::ledger::Refusal::Memory));
     c.fairness_ledger.task_preempted(pair, 9_000.0);
     c.record_fairness();
     let mut read = Records::default();
     for change in commit(&mut c) {
-        let crate::records::Change::Put { put, v, .. } = change else { continue };
+        let crate::records::Change::Put { path: put, value: v, .. } = change else { continue };
         match v {
             Record::Service(r) => read.service.push((put, r, 7)),
             Record::Job(r) => read.jobs.push((put, *r, 7)),
@@ -211,13 +211,13 @@
         recent: [f64::INFINITY; 3],
     };
     let known = FairnessSnapshot { team: "blue".into(), ..odd.clone() };
-    read.service.push((format!("{SERVICE}1"), ServiceRecord { rows: vec![odd, known] }, 7));
+    read.service.push((format!("{FAIRNESS_PREFIX}1"), FairnessRecord { rows: vec![odd, known] }, 7));
     let mut heir = cell();
-    rebuild(&mut heir, read, T0, T0);
+    rebuild(&mut heir, read, START_MS, START_MS);
     let row = heir.fairness_ledger.team_class(pair).expect("carried");
     assert_eq!((row.refused, row.preempted, row.open), ([0, 40], 1, 1));
     assert!(!heir.fairness_ledger.can_lose_work(pair.1, 0.05), "what was lost is not forgotten");
-    heir.advance_fairness(T0 + LATE);
+    heir.advance_fairness(START_MS + LATE);
     assert_eq!(heir.fairness_ledger.team_class(pair).map(|r| r.late), Some(1));
     heir.check_invariants();
 }
@@ -235,7 +235,7 @@
     let parts = served::record_parts(&c.fairness_ledger, &c.names, most);
     assert_eq!(parts.len(), 8);
     for rows in &parts {
-        assert!(Record::Service(ServiceRecord { rows: rows.clone() }).bytes() <= most);
+        assert!(Record::Service(FairnessRecord { rows: rows.clone() }).encoded_len() <= most);
     }
     assert!(parts[0][0].class.ends_with("599"), "{}", parts[0][0].class);
 }
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -11,22 +11,22 @@
 
 /// A job in the order in which it is served.
 #[derive(Debug, Clone, Copy)]
-pub struct Ranked {
+pub struct RankedJob {
     pub id: JobId,
     /// Within its team's guarantee, together with the team's earlier unfinished jobs.
     pub guaranteed: bool,
     pub team: TeamId,
     /// Its team is served too little and has less than its share; how urgently its class is in
     /// need within the team.
-    pub team_need: bool,
+    pub team_underserved: bool,
     pub class_need: DeficitLevel,
 }
 
-impl Ranked {
+impl RankedJob {
     /// Does nothing of `v` make room for this one, because it is as much in need? Spared are a team
     /// that is in need while this one is not, and a class that is as much in need.
-    pub(crate) fn spares(&self, v: &Ranked) -> bool {
-        let team = v.team != self.team && v.team_need && !self.team_need;
+    pub(crate) fn is_barred_from_preempting(&self, v: &RankedJob) -> bool {
+        let team = v.team != self.team && v.team_underserved && !self.team_underserved;
         team || v.class_need.is_protected_from(self.class_need)
     }
 }
@@ -64,7 +64,7 @@
     /// those of teams without one last, then by precedence. Among equals, those that can still be in time and have the least work
     /// left go first; a job that has waited for three times its span goes before all of them. Where
     /// a team or a class is served too little, that order is changed (`copperhaven_fairness::need`).
-    pub fn ranked(&self, needs: &Deficits, now: u64) -> Vec<Ranked> {
+    pub fn ranked_jobs(&self, needs: &Deficits, now: u64) -> Vec<RankedJob> {
         let mut used = vec![(0.0, 0.0); self.team_usage.len()];
         let mut open = self.queue.iter().filter_map(|(_, id)| self.jobs.get(id));
         // What is used is only added up where it matters.
@@ -86,18 +86,18 @@
             places.push(QueueEntry { team_class: pair, rank, cpus, item: within });
         }
         order_by_deficit(&mut places, needs);
-        let ranked = |p: QueueEntry<Rank, bool>| Ranked {
+        let ranked = |p: QueueEntry<Rank, bool>| RankedJob {
             id: p.rank.6,
             guaranteed: p.item,
             team: TeamId(p.team_class.0.0),
-            team_need: needs.is_team_underserved(p.team_class.0),
+            team_underserved: needs.is_team_underserved(p.team_class.0),
             class_need: needs.class_deficit(p.team_class),
         };
         places.into_iter().map(ranked).collect()
     }
 
     /// Who is served too little. Guests take what is left, however little that was.
-    pub(crate) fn who_needs(&self) -> Deficits {
+    pub(crate) fn compute_deficits(&self) -> Deficits {
         if !self.fairness_ledger.has_underserved() {
             return Deficits::default();
         }
@@ -147,7 +147,7 @@
     fn turn(&self, job: &Job, need: DeficitLevel, now: u64) -> (u8, u64) {
         let spec = &job.spec;
         let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
-        let span = 1.0 / self.theta(spec);
+        let span = 1.0 / self.deadline_rate(spec);
         // A deadline counts from the submission, everything else from when nothing is missing.
         let from = if spec.deadline_s.is_some() { job.accepted_mono_ms } else { job.eligible_mono_ms };
         let age = (now as i64 - from) as f64 / 1000.0;
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -1,7 +1,7 @@
 //! Placement passes: every waiting task that can be placed is put on a machine's list.
 
-use crate::placement::order::Ranked;
-use crate::placement::preempt::Order;
+use crate::placement::order::RankedJob;
+use crate::placement::preempt::RankByJob;
 use crate::state::cell::LeaderState;
 use crate::state::cell::MIN_PASS_INTERVAL_MS;
 use crate::state::job::{JobSpec, WaitReason};
@@ -25,13 +25,13 @@
 /// What one pass has found out: with these demands there is no place, and nobody to stop. Places
 /// only get fewer within a pass, so whoever needs at least as much need not look.
 #[derive(Default)]
-pub(crate) struct Full {
+pub(crate) struct FailedSearches {
     /// Demands, and for how many tasks of them there is room at most.
-    pub(super) room: Vec<(Arc<JobSpec>, u32)>,
-    pub(super) no_victims: Vec<(Ranked, Arc<JobSpec>, u32)>,
+    pub(super) max_tasks_by_demand: Vec<(Arc<JobSpec>, u32)>,
+    pub(super) demands_without_victims: Vec<(RankedJob, Arc<JobSpec>, u32)>,
 }
 
-impl Full {
+impl FailedSearches {
     /// Does `b` need at least what `a` needs, of machines that `a` may use as well?
     pub(super) fn covers(a: &JobSpec, b: &JobSpec) -> bool {
         a.cpus <= b.cpus
@@ -42,31 +42,31 @@
             && b.machine_types.iter().all(|t| a.machine_types.contains(t))
     }
 
-    pub(crate) fn has_no_place(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn is_unplaceable(&self, spec: &JobSpec) -> bool {
         self.lacks_room(spec, 1)
     }
 
     /// Is there room for less than `need` tasks of this shape?
     pub(super) fn lacks_room(&self, spec: &JobSpec, need: u32) -> bool {
-        self.room.iter().any(|(a, most)| *most < need && Self::covers(a, spec))
+        self.max_tasks_by_demand.iter().any(|(a, most)| *most < need && Self::covers(a, spec))
     }
 
     /// There is room for so many tasks of this shape.
-    pub(crate) fn found_room(&mut self, spec: &Arc<JobSpec>, most: u32) {
-        match self.room.iter_mut().find(|(a, _)| Self::covers(a, spec) && Self::covers(spec, a)) {
+    pub(crate) fn record_max_tasks(&mut self, spec: &Arc<JobSpec>, most: u32) {
+        match self.max_tasks_by_demand.iter_mut().find(|(a, _)| Self::covers(a, spec) && Self::covers(spec, a)) {
             Some((_, known)) => *known = most.min(*known),
-            None => self.room.push((spec.clone(), most)),
+            None => self.max_tasks_by_demand.push((spec.clone(), most)),
         }
     }
 
-    pub(crate) fn none_to_stop(&self, r: Ranked, spec: &JobSpec, need: u32) -> bool {
-        self.no_victims.iter().any(|(other, a, least)| {
+    pub(crate) fn has_no_victims(&self, r: RankedJob, spec: &JobSpec, need: u32) -> bool {
+        self.demands_without_victims.iter().any(|(other, a, least)| {
             let gang = |s: &JobSpec| s.shape == JobKind::Gang;
             Self::covers(a, spec)
                 && a.precedence <= spec.precedence
                 // An array takes what it gets; a gang found too little for all of it.
                 && (!gang(a) || (gang(spec) && *least <= need))
-                && other.team_need >= r.team_need
+                && other.team_underserved >= r.team_underserved
                 && other.class_need <= r.class_need
                 && (!r.guaranteed || (other.guaranteed && a.team == spec.team))
         })
@@ -75,7 +75,7 @@
 
 impl LeaderState {
     /// How long until the next pass is due, if there is anything to place.
-    pub fn pass_pause(&self, now: u64) -> Option<u64> {
+    pub fn ms_until_next_pass(&self, now: u64) -> Option<u64> {
         let late = self.timer_lag.saturating_sub(LATE_MS) * 4;
         let gap = self.pass_interval_ms.max(late.min(MOST_PASS_MS));
         self.placement_pending.then(|| (self.last_pass_at + gap).saturating_sub(now))
@@ -84,18 +84,18 @@
     /// A pass took so long: with much that waits, or little processor, passes are further apart, so
     /// that they never take more than a fifth of the time. Eight times as far apart as they took cost where a
     /// controller has six percent of a core.
-    pub fn pass_took(&mut self, ms: u64) {
+    pub fn record_pass_duration(&mut self, ms: u64) {
         self.pass_interval_ms = (ms * 4).clamp(MIN_PASS_INTERVAL_MS, MOST_PASS_MS);
     }
 
     /// One pass: every waiting task that can be placed is put on a machine's list.
-    pub fn place(&mut self, now: u64) {
+    pub fn run_placement_pass(&mut self, now: u64) {
         self.pass(now, true);
     }
 
     /// The same without bounds on room for gangs and on what could be stopped; for tests.
     #[cfg(any(test, feature = "testing"))]
-    pub fn place_plainly(&mut self, now: u64) {
+    pub fn run_placement_pass_without_pruning(&mut self, now: u64) {
         self.pass(now, false);
     }
 
@@ -106,17 +106,17 @@
         let unknown = self.unknown_usage();
         self.team_usage.release_held(unknown);
         self.advance_fairness(now);
-        self.needs = self.who_needs();
-        let ranked = self.ranked(&self.needs, now);
+        self.needs = self.compute_deficits();
+        let ranked = self.ranked_jobs(&self.needs, now);
         for r in &ranked {
             if let Some(job) = self.jobs.get_mut(&r.id) {
                 job.guaranteed = r.guaranteed;
             }
         }
-        let mut slots = self.slots(now);
-        let order: Order = ranked.iter().map(|r| (r.id, *r)).collect();
-        let held = self.held(now);
-        let mut full = Full::default();
+        let mut slots = self.free_capacity(now);
+        let order: RankByJob = ranked.iter().map(|r| (r.id, *r)).collect();
+        let held = self.reserved_machines(now);
+        let mut full = FailedSearches::default();
         for r in &ranked {
             let Some(job) = self.jobs.get(&r.id) else { continue };
             if job.waiting.is_empty() {
@@ -145,26 +145,26 @@
                 && !spec.spread
                 // Before its turn nobody keeps a machine for it but earlier passes.
                 && !held.contains_key(&r.id);
-            let skip = plain && full.has_no_place(&spec);
+            let skip = plain && full.is_unplaceable(&spec);
             let gang = spec.shape == JobKind::Gang;
             let wait = match spec.shape {
-                _ if skip && self.team_room(&spec) == 0 => WaitReason::TeamLimit,
+                _ if skip && self.team_headroom(&spec) == 0 => WaitReason::TeamLimit,
                 JobKind::Gang => {
                     let short = skip || (plain && full.lacks_room(&spec, need));
                     self.place_gang(r.id, &spec, &mut slots, now, short)
                 }
                 _ if skip => WaitReason::NoRoom,
-                _ => self.place_single(r.id, &spec, &mut slots, now),
+                _ => self.place_independent_tasks(r.id, &spec, &mut slots, now),
             };
             if held.contains_key(&r.id) && !slots.iter().any(|s| s.reserved == Some(r.id)) {
                 // What was kept for it is there for others now: there may be more room than was found.
-                full.room.clear();
+                full.max_tasks_by_demand.clear();
             }
             if wait == WaitReason::NoRoom && plain && !skip && !full.lacks_room(&spec, need) {
                 // A gang found too little for all of it, a single task none at all.
-                let most = slots.iter().map(|s| s.open_room(&spec)).sum();
+                let most = slots.iter().map(|s| s.unreserved_fitting_tasks(&spec)).sum();
                 if (gang && bounds) || most == 0 {
-                    full.found_room(&spec, most);
+                    full.record_max_tasks(&spec, most);
                 }
             }
             let Some(job) = self.jobs.get_mut(&r.id) else { continue };
@@ -176,12 +176,12 @@
                 if waits_on {
                     job.wait_reason = WaitReason::Stopping;
                 }
-                let futile = soon || !self.lower_work(&spec);
+                let futile = soon || !self.has_lower_priority_work(&spec);
                 if waits_on {
                     // For what is being stopped; its share of the limit is kept for it meanwhile.
-                    self.hold_limit(r.id, &spec);
-                } else if !gang && !futile && slots.iter().any(|s| s.open_to(&spec)) {
-                    let found = self.make_team_room(r.id, &spec, now);
+                    self.reserve_team_limit(r.id, &spec);
+                } else if !gang && !futile && slots.iter().any(|s| s.has_unreserved_room(&spec)) {
+                    let found = self.preempt_for_team_limit(r.id, &spec, now);
                     if let Some(job) = self.jobs.get_mut(&r.id) {
                         job.next_preemption_at = now + if found { AGAIN_MS } else { LOOK_MS };
                         if found {
@@ -199,24 +199,24 @@
                 // repeated within a second, nor in this pass for those who could stop no more.
                 let kept =
                     held.contains_key(&r.id) && slots.iter().any(|s| s.reserved == Some(r.id));
-                let none = || plain && full.none_to_stop(*r, &spec, need);
+                let none = || plain && full.has_no_victims(*r, &spec, need);
                 let futile = now < job.next_preemption_at || none();
                 let found = if futile {
                     kept || (now < job.next_preemption_at && was == WaitReason::Stopping)
                 } else {
-                    let found = self.make_room(*r, &spec, &mut slots, (&order, &held, bounds), now);
+                    let found = self.preempt_for_capacity(*r, &spec, &mut slots, (&order, &held, bounds), now);
                     if let Some(job) = self.jobs.get_mut(&r.id) {
                         job.next_preemption_at = now + if found { AGAIN_MS } else { LOOK_MS };
                     }
-                    let patient = spec.shape == JobKind::Array && !self.array_may_preempt(*r, now);
+                    let patient = spec.shape == JobKind::Array && !self.can_array_preempt(*r, now);
                     if !found && plain && !patient {
-                        full.no_victims.push((*r, spec.clone(), need));
+                        full.demands_without_victims.push((*r, spec.clone(), need));
                     }
                     found
                 };
                 if found {
                     if spec.shape != JobKind::Array {
-                        self.hold_limit(r.id, &spec);
+                        self.reserve_team_limit(r.id, &spec);
                     }
                     if let Some(job) = self.jobs.get_mut(&r.id) {
                         job.wait_reason = WaitReason::Stopping;
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -1,7 +1,7 @@
 //! Who has to make room for whom.
 
-use crate::placement::order::Ranked;
-use crate::placement::slots::Slot;
+use crate::placement::order::RankedJob;
+use crate::placement::slots::FreeCapacity;
 use crate::state::cell::LeaderState;
 use crate::state::job::JobSpec;
 use crate::state::machine::{Assignment, Machine, RESERVATION_MS, ObservedState};
@@ -23,7 +23,7 @@
 type Victim = (JobId, u32, bool);
 
 /// The order of service of a pass, by job.
-pub(crate) type Order = FxHashMap<JobId, Ranked>;
+pub(crate) type RankByJob = FxHashMap<JobId, RankedJob>;
 
 /// The machines that were kept for jobs when the pass began, usable or not.
 pub(crate) type Held = FxHashMap<JobId, Vec<MachineId>>;
@@ -39,10 +39,10 @@
 /// A job that looks for room, and what it has found out of others.
 struct Asker<'a> {
     cell: &'a LeaderState,
-    r: Ranked,
+    r: RankedJob,
     patient: bool,
     spec: &'a JobSpec,
-    order: &'a Order,
+    order: &'a RankByJob,
     short: bool,
     /// Are machines left on which nothing could fit, before their tasks are weighed?
     bounds: bool,
@@ -71,7 +71,7 @@
         let part = if lower { MAX_LOST_SHARE_HIGHER_PRIORITY } else { MAX_LOST_SHARE_EQUAL_PRIORITY };
         (lower || beyond)
             && (!self.patient || guest(v))
-            && !other.is_some_and(|v| r.spares(v))
+            && !other.is_some_and(|v| r.is_barred_from_preempting(v))
             // Found on paired seeds of a small site: bounded at all times, losses kept gangs waiting on
             // days without overload.
             && (!self.short
@@ -86,8 +86,8 @@
     }
 
     /// Could a task of it fit on this machine if all went that it could ask for at most?
-    fn could_fit(&self, m: &Machine, slot: &Slot) -> bool {
-        let mut free = slot.bare();
+    fn could_fit(&self, m: &Machine, slot: &FreeCapacity) -> bool {
+        let mut free = slot.without_images();
         let waits = self.waits();
         let mut last: Option<(JobId, Option<Stance>)> = None;
         for ((id, _), e) in &m.assignments {
@@ -98,10 +98,10 @@
             last = Some((*id, stance));
             let Some(s) = stance else { return false };
             if e.stop_requested.is_some() || s.may || (waits && s.spec.shape == JobKind::Array) {
-                free.take_back(s.spec);
+                free.release(s.spec);
             }
         }
-        free.fits(self.spec) > 0
+        free.fitting_tasks(self.spec) > 0
     }
 }
 
@@ -109,16 +109,16 @@
     /// Stops tasks to make room: those of lower priority; and, for a job within its team's
     /// guarantee, what another team runs beyond its own. The machine is kept for the job until
     /// they have left. Returns whether the job now waits for tasks that are being stopped.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_for_capacity(
         &mut self,
-        r: Ranked,
+        r: RankedJob,
         spec: &JobSpec,
-        slots: &mut [Slot],
-        (order, held, bounds): (&Order, &Held, bool),
+        slots: &mut [FreeCapacity],
+        (order, held, bounds): (&RankByJob, &Held, bool),
         now: u64,
     ) -> bool {
         // Until then an array within its guarantee stops guests only.
-        let patient = spec.shape == JobKind::Array && !self.array_may_preempt(r, now);
+        let patient = spec.shape == JobKind::Array && !self.can_array_preempt(r, now);
         // One in need has machines kept for it until smaller tasks there have run out: they would
         // take each place that gets free before it is large enough. Not all machines at once.
         let needy = spec.shape == JobKind::Array && r.class_need.is_underserved();
@@ -131,34 +131,34 @@
         let Some(job) = self.jobs.get(&r.id) else { return false };
         let mut need = job.waiting.len();
         if spec.shape != JobKind::Gang {
-            need = need.min(self.team_room(spec)).min(32);
+            need = need.min(self.team_headroom(spec)).min(32);
         }
         let held: &[MachineId] = held.get(&r.id).map_or(&[], Vec::as_slice);
         // What the machines already held for it will give once they are free.
         let short = self.needs.has_any();
         for mid in held {
             let m = &self.machines[mid];
-            let mut free = Slot::on(*mid, m);
+            let mut free = FreeCapacity::from_machine(*mid, m);
             for ((v, _), e) in &m.assignments {
                 if let Some(v) = self.jobs.get(v)
                     && (e.stop_requested.is_some() || (short && self.runs_out(&v.spec, e, now)))
                 {
-                    free.take_back(&v.spec);
+                    free.release(&v.spec);
                 }
             }
-            need = need.saturating_sub(free.fits(spec));
+            need = need.saturating_sub(free.fitting_tasks(spec));
         }
         // What has its place on machines that are about to be heard again needs nobody to stop.
-        if need == 0 || self.expected_room(spec, now) >= need {
+        if need == 0 || self.unconfirmed_fitting_tasks(spec, now) >= need {
             return !held.is_empty();
         }
         let asker =
             Asker { cell: self, r, patient, spec, order, short, bounds, known: RefCell::default() };
         let mut plans = Vec::new();
         for (i, s) in slots.iter().enumerate() {
-            let taken = s.reserved.is_some() || held.contains(&s.mid);
-            let barred = job.failed_on.contains_key(&s.mid) || self.zone_room(r.id, s.zone) == 0;
-            if taken || barred || !s.allowed(spec) {
+            let taken = s.reserved.is_some() || held.contains(&s.machine_id);
+            let barred = job.failed_on.contains_key(&s.machine_id) || self.zone_headroom(r.id, s.zone) == 0;
+            if taken || barred || !s.is_eligible_for(spec) {
                 continue;
             }
             if let Some((cost, n, victims)) = self.victims(&asker, s, need, now) {
@@ -185,7 +185,7 @@
             }
             need = need.saturating_sub(n);
             any = true;
-            let mid = slots[i].mid;
+            let mid = slots[i].machine_id;
             // A gang needs all its places at once, so they are kept for it. An array's tasks come
             // one by one: served first anyway, it needs no machine to itself.
             let keep = spec.shape != JobKind::Array || collects;
@@ -204,12 +204,12 @@
                 }
             }
             for (vid, task, _) in victims.into_iter().filter(|(.., runs_out)| !runs_out) {
-                self.count_stop(mid, vid, task, now);
+                self.record_preemption(mid, vid, task, now);
                 let Some(v) = self.jobs.get_mut(&vid) else { continue };
                 v.preempted += 1;
                 let grace = if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 };
                 if v.spec.shape == JobKind::Gang {
-                    self.stop_all(vid, now, grace);
+                    self.stop_all_tasks(vid, now, grace);
                 } else {
                     self.stop_task(mid, vid, task, now, grace);
                 }
@@ -219,7 +219,7 @@
     }
 
     /// The machines that are kept for jobs, by job.
-    pub(super) fn held(&self, now: u64) -> Held {
+    pub(super) fn reserved_machines(&self, now: u64) -> Held {
         let mut held = Held::default();
         for (mid, m) in &self.machines {
             if let Some((id, _)) = m.reserved.filter(|(_, until)| now < *until) {
@@ -253,7 +253,7 @@
     }
 
     /// Counts a task that is about to be stopped for others.
-    pub(crate) fn count_stop(&mut self, mid: MachineId, id: JobId, task: u32, now: u64) {
+    pub(crate) fn record_preemption(&mut self, mid: MachineId, id: JobId, task: u32, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
         let Some(m) = self.machines.get(&mid) else { return };
         let Some(e) = m.assignments.get(&(id, task)) else { return };
@@ -274,7 +274,7 @@
 
     /// An array within its guarantee may preempt once it has waited a third of what the
     /// guarantee's objective allows.
-    pub(crate) fn array_may_preempt(&self, r: Ranked, now: u64) -> bool {
+    pub(crate) fn can_array_preempt(&self, r: RankedJob, now: u64) -> bool {
         let Some(job) = self.jobs.get(&r.id) else { return false };
         let span = self
             .settings
@@ -289,18 +289,18 @@
 
     /// The cheapest tasks to stop on one machine so that tasks of `spec` fit there; cost counts
     /// the work lost, in CPU seconds.
-    fn victims(&self, asker: &Asker, slot: &Slot, need: u32, now: u64) -> Option<Victims> {
-        let m = self.machines.get(&slot.mid)?;
+    fn victims(&self, asker: &Asker, slot: &FreeCapacity, need: u32, now: u64) -> Option<Victims> {
+        let m = self.machines.get(&slot.machine_id)?;
         if asker.bounds && !asker.could_fit(m, slot) {
             return None;
         }
         let spec = asker.spec;
-        let mut free = slot.bare();
+        let mut free = slot.without_images();
         let mut list: Vec<(f64, Victim)> = Vec::new();
         for ((id, task), e) in &m.assignments {
             let Stance { spec: v, may } = asker.stance(*id)?;
             if e.stop_requested.is_some() {
-                free.take_back(v);
+                free.release(v);
             } else if may {
                 let gang = if v.shape == JobKind::Gang { f64::from(v.tasks) } else { 1.0 };
                 let lost = self.lost_s(v, e, now);
@@ -310,18 +310,18 @@
                 list.push((idle, (*id, *task, true)));
             }
         }
-        let mut all = free.bare();
+        let mut all = free.without_images();
         for (_, (id, ..)) in &list {
-            all.take_back(asker.stance(*id)?.spec);
+            all.release(asker.stance(*id)?.spec);
         }
-        if all.fits(spec) == 0 {
+        if all.fitting_tasks(spec) == 0 {
             return None;
         }
         list.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut cost, mut victims) = (0.0, vec![]);
         let mut best: Option<(f64, u32, usize)> = None;
-        let mut step = |free: &Slot, cost: f64, count: usize| {
-            let n = free.fits(spec).min(need);
+        let mut step = |free: &FreeCapacity, cost: f64, count: usize| {
+            let n = free.fitting_tasks(spec).min(need);
             if n > 0 && best.is_none_or(|(c, b, _)| cost / f64::from(n) < c / f64::from(b)) {
                 best = Some((cost, n, count));
             }
@@ -329,7 +329,7 @@
         step(&free, 0.0, 0);
         for (c, victim) in list {
             let Some(v) = asker.stance(victim.0) else { continue };
-            free.take_back(v.spec);
+            free.release(v.spec);
             cost += c;
             victims.push(victim);
             step(&free, cost, victims.len());
--- a/crates/core/src/placement/singles.rs
+++ b/crates/core/src/placement/singles.rs
@@ -1,6 +1,6 @@
 //! Tasks of arrays and replicas of services, each placed by itself.
 
-use crate::placement::slots::Slot;
+use crate::placement::slots::FreeCapacity;
 use crate::state::cell::LeaderState;
 use crate::state::job::{JobSpec, WaitReason};
 use crate::state::names::*;
@@ -8,27 +8,27 @@
 
 impl LeaderState {
     /// All its tasks have their places: what was kept for it is free for others.
-    fn release_kept(&mut self, id: JobId, slots: &mut [Slot]) {
+    fn release_kept(&mut self, id: JobId, slots: &mut [FreeCapacity]) {
         for s in slots.iter_mut().filter(|s| s.reserved == Some(id)) {
             s.reserved = None;
-            if let Some(m) = self.machines.get_mut(&s.mid) {
+            if let Some(m) = self.machines.get_mut(&s.machine_id) {
                 m.reserved = None;
             }
         }
     }
 
-    pub(crate) fn place_single(
+    pub(crate) fn place_independent_tasks(
         &mut self,
         id: JobId,
         spec: &JobSpec,
-        slots: &mut [Slot],
+        slots: &mut [FreeCapacity],
         now: u64,
     ) -> WaitReason {
         // Without room in the team's limit no machine need be looked at.
-        if self.team_room(spec) == 0 && self.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty()) {
+        if self.team_headroom(spec) == 0 && self.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty()) {
             return WaitReason::TeamLimit;
         }
-        let mut order = self.candidates(id, spec, slots);
+        let mut order = self.candidate_indices(id, spec, slots);
         if spec.shape == JobKind::Service {
             // Replicas go where the job has fewest.
             let job = &self.jobs[&id];
@@ -42,17 +42,17 @@
                     self.release_kept(id, slots);
                     return WaitReason::Image;
                 }
-                let quota = self.team_room(spec);
+                let quota = self.team_headroom(spec);
                 if quota == 0 {
                     return WaitReason::TeamLimit;
                 }
                 let failing = self.jobs.get(&id).is_some_and(|j| j.is_failing());
                 let most = if failing || spec.shape == JobKind::Service { 1 } else { u32::MAX };
                 let n = slots[i]
-                    .fits(spec)
+                    .fitting_tasks(spec)
                     .min(left)
                     .min(quota)
-                    .min(self.zone_room(id, slots[i].zone))
+                    .min(self.zone_headroom(id, slots[i].zone))
                     .min(most);
                 if n == 0 {
                     break;
@@ -61,9 +61,9 @@
                 // One attempt for all that start together keeps the machine's record short.
                 let attempt = self.new_attempt();
                 for task in tasks {
-                    self.assign(slots[i].mid, id, task, attempt, now);
+                    self.assign(slots[i].machine_id, id, task, attempt, now);
                 }
-                slots[i].take(spec, n);
+                slots[i].allocate(spec, n);
                 placed = true;
                 if failing {
                     return WaitReason::Backoff;
@@ -77,7 +77,7 @@
             self.release_kept(id, slots);
             return WaitReason::Image;
         }
-        if self.team_room(spec) == 0 {
+        if self.team_headroom(spec) == 0 {
             return WaitReason::TeamLimit;
         }
         if placed {
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -1,6 +1,6 @@
-use super::order::Ranked;
+use super::order::RankedJob;
 use super::pass::*;
-use crate::admission::shape::admit_shape;
+use crate::admission::shape::resolve_spec;
 use crate::for_tests::*;
 use crate::state::cell::{LeaderState, MIN_PASS_INTERVAL_MS};
 use crate::state::job::JobSpec;
@@ -16,7 +16,7 @@
     let mut body = crate::for_tests::body("wk-1");
     edit(&mut body);
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
-    Arc::new(admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid"))
+    Arc::new(resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid"))
 }
 
 #[test]
@@ -24,23 +24,23 @@
     // Guards the leader's processor time: with hundreds of guests' jobs waiting, a pass for
     // each of 300 reports a second left none for the users, whose questions timed out.
     let mut c = crate::for_tests::cell();
-    c.place(1000);
-    assert_eq!(c.pass_pause(1000), None, "nothing has changed");
+    c.run_placement_pass(1000);
+    assert_eq!(c.ms_until_next_pass(1000), None, "nothing has changed");
     c.placement_pending = true;
     for (now, pause) in [(1000, MIN_PASS_INTERVAL_MS), (1000 + MIN_PASS_INTERVAL_MS - 1, 1), (1000 + MIN_PASS_INTERVAL_MS, 0)] {
-        assert_eq!(c.pass_pause(now), Some(pause), "{now}");
+        assert_eq!(c.ms_until_next_pass(now), Some(pause), "{now}");
     }
     // Found on an own day of four times as many pipelines: passes over hundreds of waiting jobs
     // left no time to renew the leader's lease.
     for (took, gap) in [(0, 50), (12, 50), (40, 160), (5000, 1000)] {
-        c.pass_took(took);
-        assert_eq!(c.pass_pause(1000), Some(gap), "{took}");
+        c.record_pass_duration(took);
+        assert_eq!(c.ms_until_next_pass(1000), Some(gap), "{took}");
     }
     // A leader whose timers fire late has more to do than time: places are what it puts off.
-    c.pass_took(0);
+    c.record_pass_duration(0);
     for (lag, gap) in [(3, 50), (100, 50), (150, 200), (5000, 1000)] {
         c.timer_lag = lag;
-        assert_eq!(c.pass_pause(1000), Some(gap), "{lag}");
+        assert_eq!(c.ms_until_next_pass(1000), Some(gap), "{lag}");
     }
 }
 
@@ -51,7 +51,7 @@
     // Whoever could find something must still look.
     type Edit = fn(&mut JobBody);
     let failed = spec(|b| (b.cpus, b.priority) = (4.0, Priority::Normal));
-    let full = Full { room: vec![(failed.clone(), 0)], no_victims: vec![] };
+    let full = FailedSearches { max_tasks_by_demand: vec![(failed.clone(), 0)], demands_without_victims: vec![] };
     let cases: [(Edit, bool); 6] = [
         (|b| b.cpus = 4.0, true),
         (|b| b.cpus = 5.0, true),
@@ -61,24 +61,24 @@
         (|b| (b.cpus, b.spot) = (5.0, true), true),
     ];
     for (i, (edit, skip)) in cases.into_iter().enumerate() {
-        assert_eq!(full.has_no_place(&spec(edit)), skip, "place {i}");
+        assert_eq!(full.is_unplaceable(&spec(edit)), skip, "place {i}");
     }
     // What may use spot machines looks for itself after one that may not.
     let strict = spec(|b| (b.cpus, b.spot) = (4.0, false));
-    let full = Full { room: vec![(strict, 0)], no_victims: vec![] };
-    assert!(!full.has_no_place(&spec(|b| (b.cpus, b.spot) = (5.0, true))));
+    let full = FailedSearches { max_tasks_by_demand: vec![(strict, 0)], demands_without_victims: vec![] };
+    assert!(!full.is_unplaceable(&spec(|b| (b.cpus, b.spot) = (5.0, true))));
 
-    let ranked = |guaranteed| Ranked {
+    let ranked = |guaranteed| RankedJob {
         id: JobId(1),
         guaranteed,
         team: TeamId(0),
-        team_need: false,
+        team_underserved: false,
         class_need: DeficitLevel::NONE,
     };
     let gang = |b: &mut JobBody| {
         (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 3, 4.0, Priority::Normal);
     };
-    let full = Full { room: vec![], no_victims: vec![(ranked(false), spec(gang), 3)] };
+    let full = FailedSearches { max_tasks_by_demand: vec![], demands_without_victims: vec![(ranked(false), spec(gang), 3)] };
     let cases: [(Edit, u32, bool, bool); 6] = [
         (gang, 3, false, true),
         (gang, 2, false, false),
@@ -98,7 +98,7 @@
     ];
     for (i, (edit, need, guaranteed, skip)) in cases.into_iter().enumerate() {
         let s = spec(edit);
-        assert_eq!(full.none_to_stop(ranked(guaranteed), &s, need), skip, "victims {i}");
+        assert_eq!(full.has_no_victims(ranked(guaranteed), &s, need), skip, "victims {i}");
     }
 }
 
@@ -121,14 +121,14 @@
         b.team = "guest".into();
     });
     commit(&mut c);
-    let first = |c: &LeaderState, now| c.ranked(&c.who_needs(), now)[0].id;
-    assert!(first(&c, T0 + 1_000) != large, "the least work first");
+    let first = |c: &LeaderState, now| c.ranked_jobs(&c.compute_deficits(), now)[0].id;
+    assert!(first(&c, START_MS + 1_000) != large, "the least work first");
     // None of them may be in time any more, nor has waited far too long.
-    let late = T0 + 125_000;
+    let late = START_MS + 125_000;
     assert_eq!(first(&c, late), large);
     // It has begun: while the largest have a third of what the class uses, the others go on first.
     let r = |tally| Report { machine_type: "big".into(), ..report(1, tally, TERM, &[]) };
-    exchange(&mut c, &r(1), late);
+    exchange_report(&mut c, &r(1), late);
     assert!(c.jobs[&large].placement_counts.len() > 10);
     assert!(first(&c, late + 100) != twin, "one at a time, a third of what is used at most");
     c.check_invariants();
--- a/crates/core/src/questions.rs
+++ b/crates/core/src/questions.rs
@@ -14,7 +14,7 @@
 const STEPS: usize = 1000;
 
 impl LeaderState {
-    pub fn show(&self, uid: &str) -> Option<JobStatus> {
+    pub fn job_status(&self, uid: &str) -> Option<JobStatus> {
         if let Some((id, job)) = self.job(uid) {
             if !self.is_accepted(id, job) {
                 return None;
@@ -45,7 +45,7 @@
                 "queued"
             };
             let why = (status == "queued" || !job.waiting.is_empty())
-                .then(|| self.why_waiting(id, job).text().to_string())
+                .then(|| self.wait_reason(id, job).text().to_string())
                 .filter(|w| !w.is_empty() && job.is_open());
             let mut shown = JobStatus {
                 done: u64::from(job.done.len()),
@@ -58,7 +58,7 @@
             }
             return Some(shown);
         }
-        self.final_records.get(uid).map(|f| shown_final(uid, f))
+        self.final_records.get(uid).map(|f| final_status(uid, f))
     }
 
     /// May a cancellation be applied, without being known to be, of a job that others wait for?
@@ -69,7 +69,7 @@
 
     /// Why a job waits. Looked up when somebody asks: where its tasks are all on machines and
     /// still don't run, the machines tell.
-    pub fn why_waiting(&self, id: JobId, job: &Job) -> WaitReason {
+    pub fn wait_reason(&self, id: JobId, job: &Job) -> WaitReason {
         if !job.waiting.is_empty() || job.running > 0 || job.placement_counts.is_empty() {
             return job.wait_reason;
         }
@@ -97,7 +97,7 @@
             let Some((id, next)) = open.max_by_key(|(_, j)| j.eta) else { return };
             at = next;
             if at.pending_dependencies.is_empty() {
-                let why = self.why_waiting(id, at).text();
+                let why = self.wait_reason(id, at).text();
                 shown.blocked_by = Some(BlockingJob {
                     uid: at.spec.uid.to_string(),
                     class: at.body.class.clone(),
@@ -110,7 +110,7 @@
     }
 }
 
-pub fn shown_final(uid: &str, f: &FinalRecord) -> JobStatus {
+pub fn final_status(uid: &str, f: &FinalRecord) -> JobStatus {
     let status = if f.done { "done" } else { "aborted" };
     JobStatus { done: u64::from(f.tasks), ..JobStatus::new(uid, status) }
 }
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/recording.rs
@@ -59,7 +59,7 @@
     }
 
     /// Has the next lists moved that still have records of their own, so many at a time. Done, it finds none.
-    pub fn move_lists(&mut self, most: usize) {
+    pub fn migrate_machines_to_packs(&mut self, most: usize) {
         for _ in 0..most {
             let Some(mid) = self.packs.pop_unmoved() else { return };
             self.mark_dirty(RecordKey::Machine(mid));
@@ -67,12 +67,12 @@
     }
 
     /// The next transaction: at most `ops` changes, the most urgent keys first.
-    pub fn batch(&mut self, ops: usize) -> Option<Batch> {
-        self.batch_with_reserve(ops, 0)
+    pub fn next_batch(&mut self, ops: usize) -> Option<Batch> {
+        self.next_batch_with_reserve(ops, 0)
     }
 
     /// The same, with so many of the changes left to what users wait for.
-    pub fn batch_with_reserve(&mut self, ops: usize, reserve: usize) -> Option<Batch> {
+    pub fn next_batch_with_reserve(&mut self, ops: usize, reserve: usize) -> Option<Batch> {
         if self.packs.is_enabled() {
             self.regroup();
         }
@@ -92,7 +92,7 @@
     }
 
     /// A transaction was called malformed or too large. False: it was one of several.
-    pub fn malformed(&mut self, batch: &Batch) -> bool {
+    pub fn on_malformed(&mut self, batch: &Batch) -> bool {
         let given_up = self.write_queue.batch_rejected(batch);
         for key in batch.keys.iter().filter(|_| given_up.is_some()) {
             if let RecordKey::Machine(mid) = key {
@@ -103,7 +103,7 @@
     }
 
     /// A transaction was applied at `rev`.
-    pub fn applied(&mut self, batch: &Batch, rev: u64) {
+    pub fn on_applied(&mut self, batch: &Batch, rev: u64) {
         for change in &batch.changes {
             let number = change.path().strip_prefix("p/").and_then(|n| n.parse().ok());
             if let Some(pack) = number.map(PackId) {
@@ -112,7 +112,7 @@
             }
         }
         self.write_queue.batch_applied(batch, rev);
-        self.nudge(&batch.keys);
+        self.request_reports(&batch.keys);
         for key in &batch.keys {
             match key {
                 RecordKey::Job(id) => {
@@ -161,7 +161,7 @@
 
     /// A condition on `key` failed, and it was read back: its version, and what it says if it is
     /// a final record.
-    pub fn read_back(&mut self, key: &str, stamp: Option<u64>, last: Option<FinalRecord>) {
+    pub fn on_condition_failed(&mut self, key: &str, stamp: Option<u64>, last: Option<FinalRecord>) {
         if let (Some(uid), Some(last)) = (key.strip_prefix("f/"), last)
             && let Some(id) = self.unaccepted(uid)
         {
@@ -175,7 +175,7 @@
 
     /// A job that was taken for new is over, but how can't be read: it is set aside, and nothing of it
     /// was started or told.
-    pub fn end_unreadable(&mut self, uid: &str) {
+    pub fn abandon_unreadable_job(&mut self, uid: &str) {
         if let Some(id) = self.unaccepted(uid) {
             self.drop_unaccepted(id);
             self.unreadable.add_job(uid, format!("its record f/{uid} can't be read"));
@@ -225,7 +225,7 @@
             .collect();
         for (id, task) in unsent {
             self.detach(mid, id, task);
-            self.lost_task(id);
+            self.handle_lost_task(id);
         }
     }
 }
