--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -9,19 +9,19 @@
 use std::collections::BTreeMap;
 
 /// The key of the leader's record, attached to its lease.
-pub const LEADER: &str = "c/leader";
+pub const LEADER_KEY: &str = "c/leader";
 /// The key of the highest term given out.
-pub const TERM: &str = "c/term";
+pub const TERM_KEY: &str = "c/term";
 /// The key of the machine types.
-pub const FLAVORS: &str = "c/flavors";
+pub const MACHINE_TYPES_KEY: &str = "c/flavors";
 /// The keys under which it is recorded what was served to whom, and how many they are at most.
-pub const SERVICE: &str = "c/service/";
-pub const SERVICE_PARTS: u32 = 8;
+pub const FAIRNESS_PREFIX: &str = "c/service/";
+pub const MAX_FAIRNESS_PARTS: u32 = 8;
 /// The key under which the number of provided machines is recorded.
-pub const PROVIDED: &str = "c/provided";
+pub const PROVIDED_KEY: &str = "c/provided";
 /// The key of the stages of abilities, and the prefix under which every member records what it can.
-pub const STAGES: &str = "c/stages";
-pub const CAN: &str = "c/can/";
+pub const STAGES_KEY: &str = "c/stages";
+pub const ABILITIES_PREFIX: &str = "c/can/";
 
 /// `c/leader`: who leads, attached to its lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,13 +32,16 @@
     /// The address on which the process listens for its peers as long as it lives; none: not known to be so
     /// (also from the version before). With it a successor of the same name proves that the process has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seat: Option<String>,
+    #[serde(rename = "seat")]
+    pub listen_addr: Option<String>,
     /// When it was elected (time of day, milliseconds), and how often in a row right after its process had
     /// ended.
     #[serde(default, skip_serializing_if = "is_zero")]
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub elected_at_ms: u64,
     #[serde(default, skip_serializing_if = "is_zero")]
-    pub returns: u64,
+    #[serde(rename = "returns")]
+    pub restarts: u64,
 }
 
 fn is_zero(n: &u64) -> bool {
@@ -64,25 +67,30 @@
 pub struct JobRecord {
     pub job: JobBody,
     /// Time of day of its acceptance, milliseconds.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub accepted_at_ms: u64,
     #[serde(default)]
     pub cancelled: bool,
     /// While it waits for other jobs. Its `berths` say meanwhile that no machine type will do, so
     /// that a version that doesn't know of waiting calls it queued, starts nothing of it and
     /// leaves the record alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub waits: Option<Waits>,
+    #[serde(rename = "waits")]
+    pub dependency_wait: Option<DependencyWait>,
     /// When it ceased to wait, time of day in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub since: Option<u64>,
+    #[serde(rename = "since")]
+    pub eligible_at_ms: Option<u64>,
 }
 
 /// What a job waits for, and the machine types that it may use then.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Waits {
-    pub on: Vec<String>,
+pub struct DependencyWait {
+    #[serde(rename = "on")]
+    pub dependencies: Vec<String>,
     #[serde(default)]
-    pub berths: Option<Vec<String>>,
+    #[serde(rename = "berths")]
+    pub machine_types: Option<Vec<String>>,
     /// How many records `a/ID/N`, written before this one, list more.
     #[serde(default)]
     pub parts: u32,
@@ -90,14 +98,16 @@
 
 /// `a/ID/N`: more of what a job waits for than its own record has room for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LinksRecord {
-    pub on: Vec<String>,
+pub struct DependenciesRecord {
+    #[serde(rename = "on")]
+    pub dependencies: Vec<String>,
 }
 
 /// `d/ID/CHUNK`: finished tasks as start, length, start, length…
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct DoneRecord {
-    pub r: Vec<u32>,
+pub struct DoneTasksRecord {
+    #[serde(rename = "r")]
+    pub task_ranges: Vec<u32>,
 }
 
 /// `f/ID`: a job that is over; never deleted.
@@ -111,41 +121,53 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineRecord {
     pub addr: String,
-    pub berth: String,
-    pub yard: String,
+    #[serde(rename = "berth")]
+    pub machine_type: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     pub spot: bool,
-    pub shift: u64,
-    pub on: Vec<OnRecord>,
+    #[serde(rename = "shift")]
+    pub session: u64,
+    #[serde(rename = "on")]
+    pub assignments: Vec<AssignmentRecord>,
 }
 
 /// `p/N`: several machines, by name. A release that doesn't know it must not lead where it is written
 /// (docs/rollout.md).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PackRecord {
-    pub packed: BTreeMap<String, MachineRecord>,
+    #[serde(rename = "packed")]
+    pub machines: BTreeMap<String, MachineRecord>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OnRecord {
-    pub j: String,
-    pub t: u64,
+pub struct AssignmentRecord {
+    #[serde(rename = "j")]
+    pub job: String,
+    #[serde(rename = "t")]
+    pub attempt: u64,
     /// Tasks as start, length, start, length…
-    pub r: Vec<u32>,
+    #[serde(rename = "r")]
+    pub task_ranges: Vec<u32>,
 }
 
 /// `r/NAME`: a rental that may have been asked for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RentalRecord {
-    pub berth: String,
-    pub yard: String,
+    #[serde(rename = "berth")]
+    pub machine_type: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     pub spot: bool,
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
 /// `c/flavors`: the machine types, as the cloud last told them to a leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FlavorsRecord {
-    pub berths: Vec<WireMachineType>,
+    #[serde(rename = "berths")]
+    pub machine_types: Vec<WireMachineType>,
 }
 
 /// `c/provided`: how many machines were there before the service rented any.
@@ -156,7 +178,7 @@
 
 /// `c/service/N`: what was served to teams and classes, for a successor (`copperhaven_fairness`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ServiceRecord {
+pub struct FairnessRecord {
     pub rows: Vec<FairnessSnapshot>,
 }
 
@@ -169,28 +191,32 @@
     Stages(StagesRecord),
     Can(AbilitiesRecord),
     Job(Box<JobRecord>),
-    Links(LinksRecord),
-    Done(DoneRecord),
+    Links(DependenciesRecord),
+    Done(DoneTasksRecord),
     Final(FinalRecord),
     Machine(MachineRecord),
     Pack(PackRecord),
     Rental(RentalRecord),
     Flavors(FlavorsRecord),
     Provided(ProvidedRecord),
-    Service(ServiceRecord),
+    Service(FairnessRecord),
 }
 
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
 pub enum Change {
     Put {
-        put: String,
-        v: Record,
+        #[serde(rename = "put")]
+        path: String,
+        #[serde(rename = "v")]
+        value: Record,
         #[serde(skip_serializing_if = "Option::is_none")]
-        charter: Option<u64>,
+        #[serde(rename = "charter")]
+        lease_id: Option<u64>,
     },
     Delete {
-        delete: String,
+        #[serde(rename = "delete")]
+        path: String,
     },
 }
 
@@ -219,7 +245,7 @@
 
     /// How long the value is: as JSON, in which the protocol measures, or as MessagePack, in which
     /// it is sent, whichever is longer.
-    pub fn bytes(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         let mut json = Count(0);
         let counted = serde_json::to_writer(&mut json, self);
         encode(self).len().max(if counted.is_ok() { json.0 } else { usize::MAX })
@@ -228,25 +254,26 @@
 
 impl Change {
     /// How long the value of a put is.
-    pub fn bytes(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         match self {
-            Change::Put { v, .. } => v.bytes(),
+            Change::Put { value: v, .. } => v.encoded_len(),
             Change::Delete { .. } => 0,
         }
     }
 
     pub fn path(&self) -> &str {
         match self {
-            Change::Put { put, .. } => put,
-            Change::Delete { delete } => delete,
+            Change::Put { path: put, .. } => put,
+            Change::Delete { path: delete } => delete,
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Cond {
+pub struct Condition {
     pub path: String,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// Start, length, start, length… of the sorted numbers.
@@ -291,11 +318,11 @@
     #[test]
     fn changes_on_the_wire() {
         let put = Change::Put {
-            put: "f/wk-1".into(),
-            v: Record::Final(FinalRecord { done: true, tasks: 3 }),
-            charter: None,
+            path: "f/wk-1".into(),
+            value: Record::Final(FinalRecord { done: true, tasks: 3 }),
+            lease_id: None,
         };
-        let bytes = encode(&[put, Change::Delete { delete: "j/wk-1".into() }]);
+        let bytes = encode(&[put, Change::Delete { path: "j/wk-1".into() }]);
         #[derive(Deserialize)]
         struct Seen {
             put: Option<String>,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -23,7 +23,8 @@
 pub struct Settings {
     pub member: String,
     pub zone: String,
-    pub front: String,
+    #[serde(rename = "front")]
+    pub api_listen: String,
     pub cluster_listen: String,
     #[serde(default)]
     pub members: Vec<Member>,
@@ -35,7 +36,8 @@
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct Member {
-    pub member: String,
+    #[serde(rename = "member")]
+    pub name: String,
     #[serde(default)]
     pub zone: String,
     pub endpoint: String,
@@ -151,7 +153,7 @@
     }
 
     /// The longest value, in bytes.
-    pub fn value_bytes(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         let next = self.next.as_ref().and_then(|n| n.value_kb);
         (next.map_or(self.value_kb, |n| n.min(self.value_kb)) * 1024.0) as usize
     }
@@ -230,7 +232,7 @@
 const HOLDING_MARGIN_S: f64 = 1.0;
 
 /// A value has to hold a job's record or a quarter of the finished ranges of a chunk.
-pub const LEAST_VALUE: usize = 1536;
+pub const MIN_VALUE_BYTES: usize = 1536;
 
 /// Reads and checks both files.
 pub fn load(path: &Path, tuning: Option<&Path>) -> Result<Settings, SettingsError> {
@@ -256,7 +258,7 @@
 
 impl Settings {
     /// May starts wait no longer than workers take to report? Then they are asked to (`workers::nudges`).
-    pub fn starts_hurry(&self) -> bool {
+    pub fn needs_early_reports(&self) -> bool {
         let d = &self.deployment;
         let starts =
             d.objectives.iter().filter(|o| matches!(o.kind.as_str(), "wait" | "guarantee"));
@@ -282,7 +284,7 @@
         if self.member.is_empty() {
             return Err(SettingsError::Invalid("member", "must not be empty".into()));
         }
-        address("front", &self.front)?;
+        address("front", &self.api_listen)?;
         address("cluster_listen", &self.cluster_listen)?;
         address("endpoints.cloud", &self.endpoints.cloud)?;
         address("endpoints.state", &self.endpoints.state)?;
@@ -313,8 +315,8 @@
             ("deployment.state.next.value_kb", next_kb),
         ] {
             positive(name, kb)?;
-            if kb * 1024.0 < LEAST_VALUE as f64 {
-                let why = format!("must be at least {}, is {kb}", LEAST_VALUE as f64 / 1024.0);
+            if kb * 1024.0 < MIN_VALUE_BYTES as f64 {
+                let why = format!("must be at least {}, is {kb}", MIN_VALUE_BYTES as f64 / 1024.0);
                 return Err(SettingsError::Invalid(name, why));
             }
         }
@@ -364,10 +366,10 @@
             return Err(SettingsError::Invalid("abilities_off", why));
         }
         // It renews itself four times within its lease, and must be able to serve workers in between.
-        if self.holding_ms() < t.leader_lease_ms / 2 {
+        if self.renewal_grace_ms() < t.leader_lease_ms / 2 {
             let why = format!(
                 "leaves workers to be renewed for {} ms after a renewal of the leader: raise it, lower lease_s or raise leader_lease_ms",
-                self.holding_ms()
+                self.renewal_grace_ms()
             );
             return Err(SettingsError::Invalid("deployment.workers.cancel_s", why));
         }
@@ -381,12 +383,12 @@
 
     /// All members, this one among them.
     pub fn member_names(&self) -> impl Iterator<Item = &str> {
-        let others = self.members.iter().map(|m| m.member.as_str());
+        let others = self.members.iter().map(|m| m.name.as_str());
         others.filter(|m| *m != self.member).chain([self.member.as_str()])
     }
 
     /// What operators want of abilities.
-    pub fn wish(&self) -> AbilityOverrides {
+    pub fn ability_overrides(&self) -> AbilityOverrides {
         let t = &self.tuning;
         AbilityOverrides {
             enabled: t.abilities_on.clone(),
@@ -399,15 +401,15 @@
     /// survive an outage of the state service, and yet they end within `cancel_s` of any cancellation that a successor
     /// could have confirmed (not before this leader's lease has ended). The worst schedule, and what each term is for:
     /// `docs/safety.md`, "The gap". Where `cancel_s` leaves no room it is shorter than the lease itself, down to 0.
-    pub fn holding_ms(&self) -> u64 {
+    pub fn renewal_grace_ms(&self) -> u64 {
         let w = &self.deployment.workers;
         let s = w.cancel_s - w.lease_s * DRIFT - HOLDING_MARGIN_S;
         (self.tuning.leader_lease_ms as f64 + s * 1000.0).max(0.0) as u64
     }
 
     /// What operators should know of these settings, said once at the start.
-    pub fn remarks(&self) -> Option<String> {
-        let (holding, lease) = (self.holding_ms(), self.tuning.leader_lease_ms);
+    pub fn warnings(&self) -> Option<String> {
+        let (holding, lease) = (self.renewal_grace_ms(), self.tuning.leader_lease_ms);
         (holding <= lease).then(|| {
             let w = &self.deployment.workers;
             format!(
@@ -418,18 +420,18 @@
     }
 
     /// Tasks of open jobs that the leader's memory has room for; more are refused for a while.
-    pub fn most_tasks(&self) -> usize {
+    pub fn max_open_tasks(&self) -> usize {
         // One job of the largest size always fits.
         ((self.deployment.limits.mem_mb * 8000.0) as usize).max(200_000)
     }
 
     /// A worker's lease, as long as it may last by another machine's clock.
-    pub fn lease_ms(&self) -> u64 {
+    pub fn max_worker_lease_ms(&self) -> u64 {
         (self.deployment.workers.lease_s * 1002.0) as u64 + 100
     }
 
     /// Deadline span by class: the longest span that the class's objectives speak of.
-    pub fn class_span(&self, class: &str) -> Option<f64> {
+    pub fn class_span_s(&self, class: &str) -> Option<f64> {
         self.deployment
             .objectives
             .iter()
@@ -443,7 +445,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::for_tests::{SAMPLE, sample};
+    use crate::for_tests::{SAMPLE_SETTINGS, sample_settings};
 
     #[test]
     fn refuses_what_makes_no_sense_and_names_the_field() {
@@ -467,14 +469,14 @@
             ("value_kb = 8.0", "value_kb = 0.5", "value_kb"),
         ];
         for (from, to, field) in cases {
-            let text = SAMPLE.replace(from, to);
+            let text = SAMPLE_SETTINGS.replace(from, to);
             let error = match toml::from_str::<Settings>(&text) {
                 Ok(s) => s.check().expect_err(to).to_string(),
                 Err(e) => e.to_string(),
             };
             assert!(error.contains(field), "{to}: {error}");
         }
-        assert!(sample().check().is_ok());
+        assert!(sample_settings().check().is_ok());
     }
 
     #[test]
@@ -488,11 +490,11 @@
             ("next = { rps = 500.0, value_kb = 16.0, txn_ops = 64 }", (250.0, 60.0, 8192, 16)),
             ("next = { rps = 100.0, some_day = 3 }", (100.0, 60.0, 8192, 16)),
         ] {
-            let text = SAMPLE.replace("txn_ops = 16", &format!("txn_ops = 16\n{next}"));
+            let text = SAMPLE_SETTINGS.replace("txn_ops = 16", &format!("txn_ops = 16\n{next}"));
             let s: Settings = toml::from_str(&text).expect(next);
             assert!(s.check().is_ok(), "{next}");
             let l = &s.deployment.state;
-            assert_eq!((l.rps(), l.write_rps(), l.value_bytes(), l.txn_ops()), expected, "{next}");
+            assert_eq!((l.rps(), l.write_rps(), l.max_value_bytes(), l.txn_ops()), expected, "{next}");
         }
     }
 
@@ -506,7 +508,7 @@
             (", cpus = 16.0, cpus_max = 64.0", "", f64::INFINITY, true),
             ("cpus = 16.0, cpus_max = 64.0", "cpus_max = 12.0", 12.0, true),
         ] {
-            let s: Settings = toml::from_str(&SAMPLE.replace(from, to)).expect(to);
+            let s: Settings = toml::from_str(&SAMPLE_SETTINGS.replace(from, to)).expect(to);
             assert!(s.check().is_ok(), "{to}");
             let red = &s.deployment.teams[0];
             assert_eq!((red.cpus_max, red.is_guest()), (most, guest), "{to}");
@@ -522,7 +524,7 @@
 
     /// Settings with these workers' times and this lease of the leader.
     fn times(lease_s: f64, cancel_s: f64, leader_lease_ms: u64) -> Settings {
-        let mut s = sample();
+        let mut s = sample_settings();
         (s.deployment.workers.lease_s, s.deployment.workers.cancel_s) = (lease_s, cancel_s);
         s.tuning.leader_lease_ms = leader_lease_ms;
         s
@@ -547,9 +549,9 @@
                 served += 1;
                 let due = leader_lease_ms as f64 + cancel_s * 1000.0;
                 // Both clocks are off by the worst, for the worker's lease and for the holding.
-                let end = (s.holding_ms() as f64 + lease_s * 1000.0) * 1.001;
+                let end = (s.renewal_grace_ms() as f64 + lease_s * 1000.0) * 1.001;
                 assert!(end < due, "{lease_s} {cancel_s} {leader_lease_ms}: {end} {due}");
-                short += usize::from(s.remarks().is_some());
+                short += usize::from(s.warnings().is_some());
             }
         }
         assert!(served > 500 && short > 20, "{served} served, {short} with hardly any holding");
@@ -573,8 +575,8 @@
                 }
                 Some(ms) => {
                     assert!(s.check().is_ok(), "{cancel_s}");
-                    assert_eq!(s.holding_ms(), ms, "{cancel_s}");
-                    assert_eq!(s.remarks().is_some(), ms <= 2_500, "{cancel_s}");
+                    assert_eq!(s.renewal_grace_ms(), ms, "{cancel_s}");
+                    assert_eq!(s.warnings().is_some(), ms <= 2_500, "{cancel_s}");
                 }
             }
         }
--- a/crates/core/src/state/book.rs
+++ b/crates/core/src/state/book.rs
@@ -47,12 +47,12 @@
         if !job.pending_dependencies.is_empty() && !job.is_cancelled() {
             let listed = self.links.inline_dependencies(job);
             let on = listed.map(ToString::to_string).collect();
-            waits = Some(Waits { on, berths: body.machine_types.replace(vec![]), parts: job.dependency_parts });
+            waits = Some(DependencyWait { dependencies: on, machine_types: body.machine_types.replace(vec![]), parts: job.dependency_parts });
         }
         let since = (job.eligible_at_ms != job.accepted_at_ms).then_some(job.eligible_at_ms);
         let mut record =
-            JobRecord { job: body, at: job.accepted_at_ms, cancelled: job.is_cancelled(), waits, since };
-        if record.cancelled && Record::Job(Box::new(record.clone())).bytes() > most {
+            JobRecord { job: body, accepted_at_ms: job.accepted_at_ms, cancelled: job.is_cancelled(), dependency_wait: waits, eligible_at_ms: since };
+        if record.cancelled && Record::Job(Box::new(record.clone())).encoded_len() > most {
             // Accepted under a higher limit. That it is cancelled has to be recorded; of its names
             // only the team's counts from here on.
             (record.job.class, record.job.image) = ("?".into(), "?".into());
@@ -68,10 +68,10 @@
             members.map(|m| (m.name.clone(), self.machine_record(m))).collect();
         match packed.is_empty() {
             false => {
-                let v = Record::Pack(PackRecord { packed });
-                vec![Change::Put { put: path, v, charter: None }]
+                let v = Record::Pack(PackRecord { machines: packed });
+                vec![Change::Put { path, value: v, lease_id: None }]
             }
-            true if ledger.has_path(&path) => vec![Change::Delete { delete: path }],
+            true if ledger.has_path(&path) => vec![Change::Delete { path }],
             true => vec![],
         }
     }
@@ -85,24 +85,24 @@
             .into_iter()
             .filter_map(|((id, t), tasks)| {
                 let j = self.jobs.get(&id)?.spec.uid.to_string();
-                Some(OnRecord { j, t, r: to_ranges(tasks) })
+                Some(AssignmentRecord { job: j, attempt: t, task_ranges: to_ranges(tasks) })
             })
             .chain(m.unreadable_job_tasks.iter().cloned())
             .collect();
         MachineRecord {
             addr: m.addr.clone(),
-            berth: self.names.types.name(m.machine_type.index()).into(),
-            yard: self.names.zones.name(m.zone.index()).into(),
+            machine_type: self.names.types.name(m.machine_type.index()).into(),
+            zone: self.names.zones.name(m.zone.index()).into(),
             spot: m.spot,
-            shift: m.last_report.0,
-            on,
+            session: m.last_report.0,
+            assignments: on,
         }
     }
 }
 
 impl RecordSource for RecordRenderer<'_> {
     fn render(&self, key: &RecordKey, ledger: &WriteQueue) -> Vec<Change> {
-        let put = |put: String, v: Record| Change::Put { put, v, charter: None };
+        let put = |put: String, v: Record| Change::Put { path: put, value: v, lease_id: None };
         match key {
             RecordKey::Job(id) => {
                 let Some(job) = self.jobs.get(id) else { return vec![] };
@@ -111,7 +111,7 @@
                     let record = FinalRecord { done: !job.is_cancelled(), tasks: job.done.len() };
                     return vec![
                         put(format!("f/{uid}"), Record::Final(record)),
-                        Change::Delete { delete: format!("j/{uid}") },
+                        Change::Delete { path: format!("j/{uid}") },
                     ];
                 }
                 let record = self.job_record(job, ledger.value_limit);
@@ -120,7 +120,7 @@
             RecordKey::DependencyPart(id, part) => {
                 let Some(job) = self.jobs.get(id) else { return vec![] };
                 let Some(on) = self.links.part(&job.spec.uid, *part) else { return vec![] };
-                let record = LinksRecord { on: on.iter().map(ToString::to_string).collect() };
+                let record = DependenciesRecord { dependencies: on.iter().map(ToString::to_string).collect() };
                 vec![put(format!("a/{}/{part}", job.spec.uid), Record::Links(record))]
             }
             RecordKey::DoneChunk(id, chunk) => {
@@ -128,12 +128,12 @@
                 let from = chunk * DONE_CHUNK_TASKS;
                 let ranges = |from: u32, n: u32| {
                     let r = to_ranges(job.done.range(from, n));
-                    Record::Done(DoneRecord { r })
+                    Record::Done(DoneTasksRecord { task_ranges: r })
                 };
                 let whole = format!("d/{}/{chunk}", job.spec.uid);
                 let record = ranges(from, DONE_CHUNK_TASKS);
                 // A record that can't be read is left as it is; the parts are as good.
-                if record.bytes() <= ledger.value_limit && !self.aside.is_write_protected(&whole) {
+                if record.encoded_len() <= ledger.value_limit && !self.aside.is_write_protected(&whole) {
                     return vec![put(whole, record)];
                 }
                 // Too scattered for one value: in parts, which an older version reads as well.
@@ -149,7 +149,7 @@
                     // Its own record goes in the same moment.
                     let own = format!("m/{}", m.name);
                     if ledger.has_path(&own) {
-                        changes.push(Change::Delete { delete: own });
+                        changes.push(Change::Delete { path: own });
                     }
                     changes
                 }
@@ -165,9 +165,9 @@
             RecordKey::FairnessPart(part) => {
                 let parts = served::record_parts(self.service, self.names, ledger.value_limit);
                 let Some(rows) = parts.into_iter().nth(*part as usize) else { return vec![] };
-                vec![put(format!("{SERVICE}{part}"), Record::Service(ServiceRecord { rows }))]
+                vec![put(format!("{FAIRNESS_PREFIX}{part}"), Record::Service(FairnessRecord { rows }))]
             }
-            RecordKey::Delete(path) => vec![Change::Delete { delete: path.clone() }],
+            RecordKey::Delete(path) => vec![Change::Delete { path: path.clone() }],
         }
     }
 
@@ -202,10 +202,10 @@
 impl LeaderState {
     /// How long the record of a waiting job is without the jobs that it waits for.
     pub fn record_bytes_without_dependencies(&self, job: &JobBody) -> usize {
-        let waits = Some(Waits { on: vec![], berths: job.machine_types.clone(), parts: u32::MAX });
+        let waits = Some(DependencyWait { dependencies: vec![], machine_types: job.machine_types.clone(), parts: u32::MAX });
         let (at, since) = (u64::MAX, Some(u64::MAX));
-        let record = JobRecord { job: job.clone(), at, cancelled: false, waits, since };
-        Record::Job(Box::new(record)).bytes()
+        let record = JobRecord { job: job.clone(), accepted_at_ms: at, cancelled: false, dependency_wait: waits, eligible_at_ms: since };
+        Record::Job(Box::new(record)).encoded_len()
     }
 
     /// Bytes that a machine's record has left for more tasks, counting what the ranges of those on
@@ -224,7 +224,7 @@
         // Its name stands in a pack, and a little around it.
         let packed = if self.packs.is_enabled() { m.name.len() + 8 } else { 0 };
         let foreign: usize =
-            m.unreadable_job_tasks.iter().map(|on| MAX_TASK_GROUP_BYTES + on.j.len() + on.r.len() * MAX_TASK_RANGE_BYTES).sum();
+            m.unreadable_job_tasks.iter().map(|on| MAX_TASK_GROUP_BYTES + on.job.len() + on.task_ranges.len() * MAX_TASK_RANGE_BYTES).sum();
         let base = 96 + m.addr.len() + names + packed + foreign;
         // Most machines hold few tasks: no need to look closer.
         let rough = m.assignments.len() * (MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES);
--- a/crates/core/src/state/cell.rs
+++ b/crates/core/src/state/cell.rs
@@ -1,7 +1,7 @@
 //! All that the leader knows while it leads: jobs, machines, which task may be where, and which
 //! records have yet to reach the state service. The slices act on it; nothing here waits.
 
-use crate::records::Cond;
+use crate::records::Condition;
 use crate::settings::Settings;
 use crate::state::aside::UnreadableRecords;
 use crate::state::finals::FinalRecordCache;
@@ -87,7 +87,7 @@
     pub fn new(
         settings: Arc<Settings>,
         term: u64,
-        leader: Cond,
+        leader: Condition,
         now: u64,
         mut names: Names,
         flavors: Vec<Flavor>,
@@ -101,7 +101,7 @@
             recovery: Recovery::begin(now, report_ms),
             reconciliation: OutcomeCounts::default(),
             team_usage: TeamUsage::new(settings.deployment.teams.len()),
-            write_queue: WriteQueue::new(leader, settings.deployment.state.value_bytes()),
+            write_queue: WriteQueue::new(leader, settings.deployment.state.max_value_bytes()),
             run_times: RunTimes::new(pools, settings.tuning.rate_window),
             fleet: Fleet::new(term),
             fairness_ledger: FairnessLedger::default(),
@@ -112,7 +112,7 @@
             packs: Packs::default(),
             final_records: FinalRecordCache::default(),
             sweep_counts: Default::default(),
-            request_early_reports: settings.starts_hurry(),
+            request_early_reports: settings.needs_early_reports(),
             settings,
             term,
             took_over_at: now,
@@ -171,7 +171,7 @@
 
     /// Until then an earlier leader may have gone on renewing workers that have not shown this term.
     fn old_leases_end(&self) -> u64 {
-        self.took_over_at + self.settings.holding_ms() + self.settings.lease_ms()
+        self.took_over_at + self.settings.renewal_grace_ms() + self.settings.max_worker_lease_ms()
     }
 
     /// What tasks that no readable record tells of may be using at most. Whose they are is not
@@ -199,7 +199,7 @@
 
     /// When nothing can be running on a machine any more, for want of a renewed lease.
     pub fn is_lease_over(&self, m: &Machine, now: u64) -> bool {
-        let own = m.last_answered_at.max(m.last_report_at) + self.settings.lease_ms();
+        let own = m.last_answered_at.max(m.last_report_at) + self.settings.max_worker_lease_ms();
         let old = if m.fenced { 0 } else { self.old_leases_end() };
         now > own.max(old)
     }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -156,10 +156,10 @@
     pub fn rental_record(&self, name: &str, names: &Names) -> Option<RentalRecord> {
         let r = self.rentals.get(name)?;
         Some(RentalRecord {
-            berth: names.types.name(r.kind.0.index()).into(),
-            yard: names.zones.name(r.kind.1.index()).into(),
+            machine_type: names.types.name(r.kind.0.index()).into(),
+            zone: names.zones.name(r.kind.1.index()).into(),
             spot: r.kind.2,
-            number: r.number,
+            count: r.number,
         })
     }
 
--- a/crates/core/src/state/hearing.rs
+++ b/crates/core/src/state/hearing.rs
@@ -112,7 +112,7 @@
         for (i, (orders, of_term, next, session, missed)) in rows.into_iter().enumerate() {
             let mut h = ResponseTracker::default();
             h.record_response(session, &orders, of_term);
-            h.check_report(&next, TERM, T0);
+            h.check_report(&next, TERM, START_MS);
             assert_eq!(h.missed, missed, "row {i}");
             assert!(h.asked.is_none(), "each sign is looked for once");
         }
--- a/crates/core/src/state/ledger.rs
+++ b/crates/core/src/state/ledger.rs
@@ -2,7 +2,7 @@
 //! each stands at the state service, and what the next transaction writes. It knows nothing of
 //! what the records say: whoever owns them tells (`Source`).
 
-use crate::records::{Change, Cond};
+use crate::records::{Change, Condition};
 use crate::state::names::{JobId, MachineId};
 use crate::state::packs::PackId;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -46,7 +46,7 @@
 pub struct Batch {
     pub ver: u64,
     pub keys: Vec<RecordKey>,
-    pub conditions: Vec<Cond>,
+    pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
 }
 
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 pub struct WriteQueue {
     /// Key and version of the leader record that every transaction is conditional on.
-    pub leader_condition: Cond,
+    pub leader_condition: Condition,
     /// The longest value that is written: the limit, or less once the service refused one.
     pub value_limit: usize,
     /// Only one record to a transaction: one of them was refused.
@@ -124,7 +124,7 @@
 const MOST_BYTES: usize = 48 << 10;
 
 impl WriteQueue {
-    pub fn new(leader: Cond, value_limit: usize) -> WriteQueue {
+    pub fn new(leader: Condition, value_limit: usize) -> WriteQueue {
         WriteQueue {
             leader_condition: leader,
             value_limit,
@@ -322,12 +322,12 @@
                 continue;
             }
             // One value that is too long must not keep the others from being written.
-            if changes.iter().any(|c| c.bytes() > self.value_limit) {
+            if changes.iter().any(|c| c.encoded_len() > self.value_limit) {
                 long.push(key.clone());
                 continue;
             }
             let bytes: usize =
-                changes.iter().map(|c| c.bytes() + 3 * c.path().len() + 96).sum::<usize>();
+                changes.iter().map(|c| c.encoded_len() + 3 * c.path().len() + 96).sum::<usize>();
             let most = if key.urgency() == 0 { ops } else { ops.saturating_sub(reserve) };
             if batch.changes.len() + changes.len() > most || size + bytes > MOST_BYTES {
                 full = true;
@@ -338,10 +338,10 @@
                 let path = change.path().to_string();
                 paths.insert(path.clone());
                 let stamp = self.stamps.get(&path).copied().unwrap_or(0);
-                batch.conditions.push(Cond { path, stamp });
+                batch.conditions.push(Condition { path, revision: stamp });
             }
             if let Some(path) = source.required_absent_path(key, self) {
-                batch.conditions.push(Cond { path, stamp: 0 });
+                batch.conditions.push(Condition { path, revision: 0 });
             }
             batch.changes.extend(changes);
             batch.keys.push(key.clone());
@@ -374,8 +374,8 @@
     pub fn batch_applied(&mut self, batch: &Batch, rev: u64) {
         for change in &batch.changes {
             match change {
-                Change::Put { put, .. } => self.stamps.insert(put.clone(), rev),
-                Change::Delete { delete } => self.stamps.remove(delete),
+                Change::Put { path: put, .. } => self.stamps.insert(put.clone(), rev),
+                Change::Delete { path: delete } => self.stamps.remove(delete),
             };
         }
         for key in &batch.keys {
@@ -412,8 +412,8 @@
         };
         tracing::error!("given up as unwritable: {key:?}");
         self.sent.remove(key);
-        let longest = batch.changes.iter().map(Change::bytes).max().unwrap_or(0);
-        if longest > crate::settings::LEAST_VALUE {
+        let longest = batch.changes.iter().map(Change::encoded_len).max().unwrap_or(0);
+        if longest > crate::settings::MIN_VALUE_BYTES {
             self.value_limit = self.value_limit.min(longest - 1);
             tracing::warn!("values are kept below {longest} bytes from now on");
         }
@@ -451,12 +451,12 @@
             let path = self.shared_path(key, ledger).unwrap_or(path);
             let room = if self.long.contains(key) { ledger.value_limit } else { 1 };
             let lot = "x".repeat(room);
-            let job = crate::for_tests::record("wk-1").job;
+            let job = crate::for_tests::job_record("wk-1").job;
             let job = copperhaven_wire::jobs::JobBody { class: lot, ..job };
-            let record = crate::records::JobRecord { job, ..crate::for_tests::record("wk-1") };
+            let record = crate::records::JobRecord { job, ..crate::for_tests::job_record("wk-1") };
             let short = Record::Final(FinalRecord { done: true, tasks: 1 });
             let v = if room > 1 { Record::Job(Box::new(record)) } else { short };
-            vec![Change::Put { put: path, v, charter: None }]
+            vec![Change::Put { path, value: v, lease_id: None }]
         }
         fn shared_path(&self, key: &RecordKey, _: &WriteQueue) -> Option<String> {
             matches!(key, RecordKey::Machine(MachineId(50..))).then(|| "p/1".into())
@@ -473,7 +473,7 @@
     }
 
     fn ledger() -> WriteQueue {
-        WriteQueue::new(Cond { path: "c/leader".into(), stamp: 50 }, 4096)
+        WriteQueue::new(Condition { path: "c/leader".into(), revision: 50 }, 4096)
     }
 
     fn job(n: u32) -> RecordKey {
@@ -520,7 +520,7 @@
         assert!(l.is_saved(&job(1), one) && !l.is_saved(&job(1), two) && l.dirty_count() == 1);
         // The next is conditional on what was applied.
         let next = l.draft_batch(&Owners::default(), 9, 0).batch.expect("again");
-        assert_eq!(next.conditions[1].stamp, 77);
+        assert_eq!(next.conditions[1].revision, 77);
         l.batch_applied(&next, 78);
         assert!(l.is_saved(&job(1), two) && l.dirty_count() == 0 && !l.has_user_facing_writes());
         // What became of its owner is none of its business, until it is told.
@@ -567,7 +567,7 @@
         l.batch_applied(&batch, 77);
         let batch = l.draft_batch(&owners, 9, 0).batch.expect("the job");
         assert_eq!(batch.keys, [job(9)]);
-        assert!(batch.conditions.contains(&Cond { path: "f/9".into(), stamp: 0 }));
+        assert!(batch.conditions.contains(&Condition { path: "f/9".into(), revision: 0 }));
     }
 
     #[test]
@@ -627,7 +627,7 @@
         assert_eq!(l.batch_rejected(&both), None);
         assert!(l.one_record_per_batch && l.dirty_count() == 2);
         let one = Batch { keys: vec![machine(1)], changes: long, ..both };
-        let bytes = one.changes[0].bytes();
+        let bytes = one.changes[0].encoded_len();
         assert_eq!(l.batch_rejected(&one), Some(machine(1)));
         assert_eq!((l.value_limit, l.dirty_count(), l.commit_stats.refused_too_large), (bytes - 1, 1, 2));
     }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,6 +1,6 @@
 //! Machines: what each may hold, and what its worker last said.
 
-use crate::records::OnRecord;
+use crate::records::AssignmentRecord;
 use crate::state::hearing::ResponseTracker;
 use crate::state::job::JobSpec;
 use crate::state::names::*;
@@ -105,7 +105,7 @@
     pub(crate) cache_gb: f64,
     pub(crate) ended_tasks: Vec<EndedTask>,
     /// Tasks of jobs that are set aside and that may be on it: its record goes on listing them.
-    pub unreadable_job_tasks: Vec<OnRecord>,
+    pub unreadable_job_tasks: Vec<AssignmentRecord>,
     /// Tasks it lists that belong to no open job.
     pub(crate) orphan_tasks: Vec<(String, u64)>,
     /// Failed tasks since its last success: of jobs that are known to run elsewhere, and of jobs
--- a/crates/core/src/state/served.rs
+++ b/crates/core/src/state/served.rs
@@ -1,6 +1,6 @@
 //! What the ledger of service is told of jobs and tasks.
 
-use crate::records::{Record, SERVICE_PARTS, ServiceRecord};
+use crate::records::{Record, MAX_FAIRNESS_PARTS, FairnessRecord};
 use crate::state::cell::LeaderState;
 use crate::state::job::{Job, JobSpec, secs_to_ms};
 use crate::state::ledger::RecordKey;
@@ -31,15 +31,15 @@
         (names.teams.name(team.0 as usize).into(), names.classes.name(class.0 as usize).into())
     };
     let size = |row: &FairnessSnapshot| {
-        let one = Record::Service(ServiceRecord { rows: vec![row.clone()] });
-        one.bytes() + 2
+        let one = Record::Service(FairnessRecord { rows: vec![row.clone()] });
+        one.encoded_len() + 2
     };
     let mut parts: Vec<Vec<FairnessSnapshot>> = vec![];
     let mut left = 0;
     for row in service.snapshot(name) {
         let bytes = size(&row);
         if bytes > left || parts.is_empty() {
-            if parts.len() == SERVICE_PARTS as usize || bytes > most {
+            if parts.len() == MAX_FAIRNESS_PARTS as usize || bytes > most {
                 break;
             }
             parts.push(vec![]);
@@ -60,7 +60,7 @@
             all += of(job);
             own += if job.spec.team == team { of(job) } else { 0 };
         }
-        let most = self.settings.most_tasks() as u64;
+        let most = self.settings.max_open_tasks() as u64;
         TaskCapacity { max_tasks: most, teams: self.team_usage.len() as u64 }.can_admit(all, own, u64::from(tasks))
     }
 
@@ -74,7 +74,7 @@
 
     /// Goes on from what earlier leaders recorded. What can't be used of it is left out: no rule rests
     /// on it.
-    pub(crate) fn restore_fairness(&mut self, read: Vec<(String, ServiceRecord, u64)>, now: u64) {
+    pub(crate) fn restore_fairness(&mut self, read: Vec<(String, FairnessRecord, u64)>, now: u64) {
         for (path, record, stamp) in read {
             self.write_queue.set_path_revision(path, Some(stamp));
             for row in record.rows {
@@ -119,7 +119,7 @@
     /// Within this a job should be done: the longest that its class's objectives speak of, or its
     /// own deadline if that is longer.
     fn aim_ms(&self, spec: &JobSpec) -> u64 {
-        let class = self.settings.class_span(self.names.classes.name(spec.class.index()));
+        let class = self.settings.class_span_s(self.names.classes.name(spec.class.index()));
         let aim = class.into_iter().chain(spec.deadline_s).reduce(f64::max);
         secs_to_ms(aim.unwrap_or(self.settings.tuning.default_span_s)).unsigned_abs()
     }
--- a/crates/core/src/state/teams.rs
+++ b/crates/core/src/state/teams.rs
@@ -195,14 +195,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::for_tests::spec;
+    use crate::for_tests::job_spec;
 
     #[test]
     fn usage_comes_back_however_priority_changes_meanwhile() {
         // (shape, tasks added, priority changed to, tasks taken off)
         for (shape, n) in [(JobKind::Array, 3), (JobKind::Gang, 2), (JobKind::Service, 1)] {
             let mut teams = TeamUsage::new(2);
-            let mut s = spec("wk-1", |_| ());
+            let mut s = job_spec("wk-1", |_| ());
             s.shape = shape;
             (0..n).for_each(|_| teams.add(&s));
             assert_eq!(teams.usage(s.team).cpus, s.cpus * f64::from(n));
--- a/crates/core/src/sweep.rs
+++ b/crates/core/src/sweep.rs
@@ -53,7 +53,7 @@
 
     /// Of these open records, those whose jobs are in no place of this leader's memory: neither known nor set aside, nor
     /// about to be recorded or over.
-    pub fn nowhere<'a>(&self, uids: impl Iterator<Item = &'a str>) -> Vec<String> {
+    pub fn untracked_jobs<'a>(&self, uids: impl Iterator<Item = &'a str>) -> Vec<String> {
         let unknown = |uid: &&str| {
             !self.jobs.contains_name(uid) && !self.final_records.contains(uid) && self.unreadable.job_reason(uid).is_none()
         };
@@ -111,11 +111,11 @@
             assert_eq!(c.sweep(), expected, "{what}");
             assert_eq!(c.sweep(), SweepCounts::default(), "{what}: once");
             c.check_invariants();
-            let orders = exchange(&mut c, &report(1, 1, TERM, &[]), T0);
+            let orders = exchange_report(&mut c, &report(1, 1, TERM, &[]), START_MS);
             let done = c.jobs[&id].done.len() as usize;
             assert_eq!(orders.len() + done, 4, "{what}");
             // What is cancelled, done or waits for others is in no queue and stays out of it.
-            c.cancel(other, T0);
+            c.cancel(other, START_MS);
             assert_eq!(c.sweep(), SweepCounts::default(), "{what}: cancelled");
         }
     }
@@ -126,6 +126,6 @@
         add_job(&mut c, "wk-1", |_| ());
         c.unreadable.add_job("wk-2", "its record can't be used".into());
         c.final_records.insert("wk-3".into(), crate::records::FinalRecord { done: true, tasks: 1 });
-        assert_eq!(c.nowhere(["wk-1", "wk-2", "wk-3", "wk-4"].into_iter()), ["wk-4"]);
+        assert_eq!(c.untracked_jobs(["wk-1", "wk-2", "wk-3", "wk-4"].into_iter()), ["wk-4"]);
     }
 }
--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -1,6 +1,6 @@
 //! Takeover: all that a new leader knows, from the records alone (DESIGN, the leader paragraph).
 
-use crate::admission::shape::admit_shape;
+use crate::admission::shape::resolve_spec;
 use crate::records::*;
 use crate::state::aside::PossibleTasks;
 use crate::state::cell::LeaderState;
@@ -20,22 +20,22 @@
 #[derive(Default)]
 pub struct Records {
     pub jobs: Rows<JobRecord>,
-    pub done: Rows<DoneRecord>,
+    pub done: Rows<DoneTasksRecord>,
     pub machines: Rows<MachineRecord>,
     pub packs: Rows<PackRecord>,
     pub rentals: Rows<RentalRecord>,
-    pub links: Rows<LinksRecord>,
-    pub service: Rows<ServiceRecord>,
+    pub dependency_lists: Rows<DependenciesRecord>,
+    pub service: Rows<FairnessRecord>,
     /// Lists of machines are written in packs.
-    pub packed: bool,
+    pub packs_enabled: bool,
     /// Records that can't be read: path and version.
-    pub bad: Vec<(String, u64)>,
+    pub unreadable: Vec<(String, u64)>,
 }
 
 /// Puts together what an earlier leader has left. `now` is this leader's steady clock, `wall_ms` the
 /// time of day, both in milliseconds. What can't be read or used is set aside (`state::aside`).
 pub fn rebuild(cell: &mut LeaderState, read: Records, now: u64, wall_ms: u64) {
-    let Records { jobs, done, machines, packs, rentals, links, service, packed, bad } = read;
+    let Records { jobs, done, machines, packs, rentals, dependency_lists: links, service, packs_enabled: packed, unreadable: bad } = read;
     set_aside(cell, bad);
     cell.restore_fairness(service, now);
     let links = read_links(cell, links);
@@ -48,10 +48,10 @@
     }
     for (path, r, stamp) in rentals {
         cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        let what = cell.names.types.get(&r.berth).zip(cell.names.zones.get(&r.yard));
+        let what = cell.names.types.get(&r.machine_type).zip(cell.names.zones.get(&r.zone));
         if let Some((kind, zone)) = what {
             let name = path.trim_start_matches("r/");
-            cell.fleet.restore_rental(name, (kind, zone, r.spot), r.number.clamp(1, 50));
+            cell.fleet.restore_rental(name, (kind, zone, r.spot), r.count.clamp(1, 50));
         }
     }
     let ids: Vec<_> = cell.jobs.keys().copied().collect();
@@ -60,9 +60,9 @@
     for id in ids {
         let Some(job) = cell.jobs.get(&id) else { continue };
         if job.is_cancelled() {
-            cell.stop_all(id, now, 0.0);
+            cell.stop_all_tasks(id, now, 0.0);
         } else if job.pending_dependencies.is_empty()
-            && let Ok(routed) = cell.admit_on(&load, &job.spec, now)
+            && let Ok(routed) = cell.admit_with_load(&load, &job.spec, now)
         {
             cell.add_routed(&mut load, &job.spec, &routed);
             if let Some(job) = cell.jobs.get_mut(&id) {
@@ -71,7 +71,7 @@
         }
         cell.finalize_if_over(id);
     }
-    cell.follow(now);
+    cell.propagate_dependencies(now);
     let machines = cell.machines.iter().map(|(mid, m)| (Machine(mid.0), Zone(m.zone.0)));
     cell.recovery.records_loaded(machines, now);
     if cell.request_early_reports {
@@ -131,11 +131,11 @@
 }
 
 /// The parts of long lists of what jobs wait for, by path.
-fn read_links(cell: &mut LeaderState, links: Rows<LinksRecord>) -> BTreeMap<String, Vec<String>> {
+fn read_links(cell: &mut LeaderState, links: Rows<DependenciesRecord>) -> BTreeMap<String, Vec<String>> {
     let mut out = BTreeMap::new();
     for (path, record, stamp) in links {
         cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        out.insert(path, record.on);
+        out.insert(path, record.dependencies);
     }
     out
 }
@@ -150,9 +150,9 @@
     let mut parked = vec![];
     for (path, mut record, stamp) in jobs {
         cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        let waits = record.waits.take();
+        let waits = record.dependency_wait.take();
         if let Some(waits) = &waits {
-            record.job.machine_types.clone_from(&waits.berths);
+            record.job.machine_types.clone_from(&waits.machine_types);
         }
         let settings = cell.settings.clone();
         let flavors = std::mem::take(&mut cell.flavors);
@@ -166,7 +166,7 @@
         } else if let Err(e) = validate(&record.job) {
             Err(e.to_string())
         } else {
-            admit_shape(&record.job, &mut cell.names, &flavors, &settings)
+            resolve_spec(&record.job, &mut cell.names, &flavors, &settings)
                 .map_err(|e| format!("accepted under other settings: {e}"))
         };
         cell.flavors = flavors;
@@ -180,7 +180,7 @@
             }
         };
         // A time that lies far off is taken for one that can be reckoned with.
-        let at = record.at.min(wall_ms + MAX_TIME_MS as u64);
+        let at = record.accepted_at_ms.min(wall_ms + MAX_TIME_MS as u64);
         let born = now as i64 - age_ms(at, wall_ms);
         let id = cell.insert_job(spec, record.job, at, born);
         if let Some(job) = cell.jobs.get_mut(&id) {
@@ -190,7 +190,7 @@
                 job.waiting.clear();
                 cell.queue.remove(&(at, id));
                 cell.fairness_ledger.remove_job(served::fairness_job(id));
-            } else if let Some(since) = record.since {
+            } else if let Some(since) = record.eligible_at_ms {
                 // It has waited for others.
                 let since = since.min(wall_ms + MAX_TIME_MS as u64);
                 job.eligible_mono_ms = now as i64 - age_ms(since, wall_ms);
@@ -210,11 +210,11 @@
         job.dependency_parts = waits.parts;
         let paths = (0..waits.parts).map(|part| format!("a/{}/{part}", job.spec.uid));
         let more = paths.filter_map(|path| links.remove(&path)).flatten();
-        let on = waits.on.into_iter().chain(more).map(Arc::from).collect();
-        cell.park(id, on, now);
+        let on = waits.dependencies.into_iter().chain(more).map(Arc::from).collect();
+        cell.block_on_dependencies(id, on, now);
     }
     for uid in cell.unreadable.job_ids() {
-        cell.doubt(&uid);
+        cell.mark_outcome_unknown(&uid);
     }
     drop_unused_links(cell);
 }
@@ -234,7 +234,7 @@
     }
 }
 
-fn read_done(cell: &mut LeaderState, done: Rows<DoneRecord>) {
+fn read_done(cell: &mut LeaderState, done: Rows<DoneTasksRecord>) {
     for (path, record, stamp) in done {
         let mut parts = path.split('/').skip(1);
         let uid = parts.next().unwrap_or_default();
@@ -250,7 +250,7 @@
         };
         if let Some(job) = cell.jobs.get_mut(&id) {
             let from = chunk.saturating_mul(DONE_CHUNK_TASKS);
-            for task in from_ranges(&record.r) {
+            for task in from_ranges(&record.task_ranges) {
                 if task >= from && task - from < DONE_CHUNK_TASKS && task < job.spec.tasks {
                     job.done.insert(task);
                     job.waiting.remove(task);
@@ -270,9 +270,9 @@
         // A pack is written anew as a whole. One that lists what can't be used is left as it is, and those in it that
         // can be used go elsewhere with their next change. One that another lists too is its shadow there, or here.
         let usable = |r: &MachineRecord| {
-            cell.names.types.get(&r.berth).is_some() && cell.names.zones.get(&r.yard).is_some()
+            cell.names.types.get(&r.machine_type).is_some() && cell.names.zones.get(&r.zone).is_some()
         };
-        let fit = record.packed.values().all(usable);
+        let fit = record.machines.values().all(usable);
         let pack = number.filter(|_| fit);
         if pack.is_none() {
             tracing::error!(
@@ -283,7 +283,7 @@
         if let Some(number) = number {
             cell.packs.register(number, pack.is_some());
         }
-        for (name, r) in record.packed {
+        for (name, r) in record.machines {
             read_machine(cell, (&path, &name), r, now);
             if let (Some(pack), Some(mid)) = (pack, cell.machines.id_of(&name)) {
                 cell.packs.restore(mid, pack, ver);
@@ -295,17 +295,17 @@
 /// A machine and the tasks that may be on it: a superset. Listed twice, it holds what either lists.
 fn read_machine(cell: &mut LeaderState, (path, name): (&str, &str), r: MachineRecord, now: u64) {
     let known = cell.machines.id_of(name);
-    let (addr, shift) = (r.addr.clone(), r.shift);
+    let (addr, shift) = (r.addr.clone(), r.session);
     if known.is_none() {
         // Fences the old leader: a worker that has seen this term drops its responses.
         cell.direct_requests.push(DirectRequest { machine: None, addr, session: shift, orders: vec![] });
     }
-    let (Some(kind), Some(zone)) = (cell.names.types.get(&r.berth), cell.names.zones.get(&r.yard))
+    let (Some(kind), Some(zone)) = (cell.names.types.get(&r.machine_type), cell.names.zones.get(&r.zone))
     else {
-        let (berth, yard) = (&r.berth, &r.yard);
+        let (berth, yard) = (&r.machine_type, &r.zone);
         tracing::error!("the record {path} can't be used: type `{berth}`, zone `{yard}`");
-        if !r.on.is_empty() {
-            let jobs = r.on.into_iter().map(|on| on.j).collect();
+        if !r.assignments.is_empty() {
+            let jobs = r.assignments.into_iter().map(|on| on.job).collect();
             cell.unreadable.add_machine(name, PossibleTasks::Jobs(jobs));
         }
         return;
@@ -320,12 +320,12 @@
             mid
         }
     };
-    for on in r.on {
-        let Some(id) = cell.jobs.id_of(on.j.as_str()) else {
+    for on in r.assignments {
+        let Some(id) = cell.jobs.id_of(on.job.as_str()) else {
             // A job that is not open is final: what is done has exited, and a cancelled job only
             // becomes final once none of its tasks can be on a machine. What is set aside may
             // be neither.
-            if cell.unreadable.job_reason(&on.j).is_some()
+            if cell.unreadable.job_reason(&on.job).is_some()
                 && let Some(m) = cell.machines.get_mut(&mid)
                 && !m.unreadable_job_tasks.contains(&on)
             {
@@ -333,13 +333,13 @@
             }
             continue;
         };
-        for task in from_ranges(&on.r) {
+        for task in from_ranges(&on.task_ranges) {
             let job = &cell.jobs[&id];
             if task >= job.spec.tasks {
                 continue;
             }
             let before = cell.machines.get(&mid).and_then(|m| m.assignments.get(&(id, task)));
-            let attempt = before.map_or(on.t, |e| e.attempt.max(on.t));
+            let attempt = before.map_or(on.attempt, |e| e.attempt.max(on.attempt));
             let mut e = Assignment::new(attempt, 0, now);
             e.unconfirmed = true;
             // Done by one record, and listed by another: mostly it has exited since. But an
@@ -350,7 +350,7 @@
             }
             cell.attach(mid, id, task, e);
             if let Some(job) = cell.jobs.get_mut(&id) {
-                job.gang_attempt = job.gang_attempt.max(on.t);
+                job.gang_attempt = job.gang_attempt.max(on.attempt);
             }
         }
     }
--- a/crates/core/src/workers/deaf.rs
+++ b/crates/core/src/workers/deaf.rs
@@ -9,7 +9,7 @@
 use crate::state::cell::LeaderState;
 use crate::state::machine::Machine;
 use crate::state::names::MachineId;
-use crate::workers::nudges::nudge;
+use crate::workers::nudges::report_request_order;
 use copperhaven_wire::workers::{Order, Report};
 
 /// One of fifty machines at a time is given back for it, and one at least.
@@ -17,7 +17,7 @@
 
 impl LeaderState {
     /// Takes note of whether a worker hears, by a report that is newer than the one answered last.
-    pub(crate) fn listen(&mut self, mid: MachineId, r: &Report, now: u64) {
+    pub(crate) fn update_responsiveness(&mut self, mid: MachineId, r: &Report, now: u64) {
         let term = self.term;
         let Some(m) = self.machines.get_mut(&mid) else { return };
         let name = &m.name;
@@ -32,17 +32,17 @@
     }
 
     /// What a deaf worker is asked for, that changes nothing but its next report.
-    pub(crate) fn ask_for_sign(&mut self, mid: MachineId) -> Option<Order> {
+    pub(crate) fn delivery_probe(&mut self, mid: MachineId) -> Option<Order> {
         let deaf = self.machines.get(&mid)?.response_tracker.is_unresponsive();
-        deaf.then(|| nudge(self.new_attempt()))
+        deaf.then(|| report_request_order(self.new_attempt()))
     }
 
     /// Machines that have been deaf for two leases and hold nothing: given back, a few at a time. Their places are
     /// rented anew as work asks for them.
-    pub(crate) fn deaf_returns(&self, now: u64) -> Vec<MachineId> {
+    pub(crate) fn unresponsive_machines_to_return(&self, now: u64) -> Vec<MachineId> {
         let most = (self.machines.len() / PART).max(1);
         let long = |m: &Machine| {
-            m.response_tracker.unresponsive_since().is_some_and(|since| now > since + 2 * self.settings.lease_ms())
+            m.response_tracker.unresponsive_since().is_some_and(|since| now > since + 2 * self.settings.max_worker_lease_ms())
         };
         let leaving = self.machines.values().filter(|m| m.leaving && m.response_tracker.is_unresponsive()).count();
         self.machines
@@ -70,7 +70,7 @@
         for n in 1..=count {
             let parcels: Vec<(&str, u64, &str)> =
                 listed.iter().map(|(p, a)| (p.as_str(), *a, "running")).collect();
-            let orders = exchange(&mut c, &report(1, n, TERM, &parcels), T0 + n * 5_000);
+            let orders = exchange_report(&mut c, &report(1, n, TERM, &parcels), START_MS + n * 5_000);
             let runs = |o: &Order| match o {
                 Order::Run { task_id: parcel, attempt } => Some((parcel.clone(), *attempt)),
                 _ => None,
@@ -111,20 +111,20 @@
         let mut c = cell();
         for n in 0..200 {
             let r = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
-            exchange(&mut c, &r(1), T0);
+            exchange_report(&mut c, &r(1), START_MS);
             if n % 2 == 0 {
                 let mid = c.machines.id_of(format!("n-{n}").as_str()).expect("there");
-                c.machines.get_mut(&mid).expect("there").response_tracker = ResponseTracker::new_unresponsive(T0);
+                c.machines.get_mut(&mid).expect("there").response_tracker = ResponseTracker::new_unresponsive(START_MS);
             }
         }
-        let lease = c.settings.lease_ms();
-        assert!(c.deaf_returns(T0 + lease).is_empty(), "it may hear again");
-        assert_eq!(c.deaf_returns(T0 + 2 * lease + 1).len(), 4);
+        let lease = c.settings.max_worker_lease_ms();
+        assert!(c.unresponsive_machines_to_return(START_MS + lease).is_empty(), "it may hear again");
+        assert_eq!(c.unresponsive_machines_to_return(START_MS + 2 * lease + 1).len(), 4);
         c.machines
             .values_mut()
             .filter(|m| m.response_tracker.is_unresponsive())
             .take(3)
             .for_each(|m| m.leaving = true);
-        assert_eq!(c.deaf_returns(T0 + 2 * lease + 1).len(), 1);
+        assert_eq!(c.unresponsive_machines_to_return(START_MS + 2 * lease + 1).len(), 1);
     }
 }
--- a/crates/core/src/workers/ends.rs
+++ b/crates/core/src/workers/ends.rs
@@ -24,12 +24,12 @@
             self.fairness_ledger.job_cancelled(served::fairness_job(id), served::fairness_pair(&job.spec));
             self.dependencies.queue_reviews(job);
         }
-        self.stop_all(id, now, 0.0);
+        self.stop_all_tasks(id, now, 0.0);
         self.finalize_if_over(id);
     }
 
     /// Marks a task done; its record follows.
-    pub fn task_done(&mut self, id: JobId, task: u32) {
+    pub fn mark_task_done(&mut self, id: JobId, task: u32) {
         let chunk = task / DONE_CHUNK_TASKS;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.is_cancelled() || task >= job.spec.tasks || !job.done.insert(task) {
@@ -45,7 +45,7 @@
             job.unsaved.insert(task, ver);
         }
         if proves {
-            self.prove(id, self.took_over_at);
+            self.mark_proven(id, self.took_over_at);
         }
         if again {
             let on = |m: &Machine| m.assignments.contains_key(&(id, task));
--- a/crates/core/src/workers/faults.rs
+++ b/crates/core/src/workers/faults.rs
@@ -9,7 +9,7 @@
     /// Tells a faulty machine from a job with a mistake. A failure counts against the machine once
     /// its job is known to run elsewhere; until then it may be the job's own, and the machine is
     /// only used last. A job that fails wherever it starts pauses, longer each time.
-    pub(crate) fn on_error(&mut self, mid: MachineId, id: JobId, ran: u64, now: u64) {
+    pub(crate) fn handle_task_failure(&mut self, mid: MachineId, id: JobId, ran: u64, now: u64) {
         let proven = self.runs_well(id, now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         *job.failed_on.entry(mid).or_insert(0) += 1;
@@ -34,7 +34,7 @@
         if was {
             self.set_aside(mid, now);
         } else if proven {
-            self.prove(id, now);
+            self.mark_proven(id, now);
         }
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// A job is known to run: where its tasks failed, the machine was at fault.
-    pub fn prove(&mut self, id: JobId, now: u64) {
+    pub fn mark_proven(&mut self, id: JobId, now: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.backoff_count > 0 {
             tracing::info!("{} runs after {} failures", job.spec.uid, job.failures);
@@ -67,13 +67,13 @@
     }
 
     /// Looks whether jobs of which tasks have failed run well by now.
-    pub fn judge(&mut self, now: u64) {
+    pub fn reassess_failing_jobs(&mut self, now: u64) {
         let open = |j: &&Job| j.failures > 0 && !j.known_to_run && j.is_open();
         let doubtful: Vec<JobId> =
             self.jobs.iter().filter(|(_, j)| open(j)).map(|(id, _)| *id).collect();
         for id in doubtful {
             if self.runs_well(id, now) {
-                self.prove(id, now);
+                self.mark_proven(id, now);
             }
         }
     }
@@ -91,7 +91,7 @@
     /// Sets machines aside on which every task runs far longer than its job's tasks did elsewhere:
     /// three tasks or more, each past `SLOW` times its job's mean, and past `LONG` times the longest:
     /// where run times differ much, those that finish first say little of the others.
-    pub fn spot_slow(&mut self, now: u64) {
+    pub fn quarantine_slow_machines(&mut self, now: u64) {
         const SLOW: f64 = 2.5;
         const LONG: f64 = 1.5;
         let mut found = vec![];
--- a/crates/core/src/workers/leases.rs
+++ b/crates/core/src/workers/leases.rs
@@ -7,7 +7,7 @@
 
 impl LeaderState {
     /// Machines whose lease has surely run out lose their tasks.
-    pub fn expire(&mut self, now: u64) -> Vec<MachineId> {
+    pub fn expire_leases(&mut self, now: u64) -> Vec<MachineId> {
         let over: Vec<MachineId> = self
             .machines
             .iter()
@@ -26,7 +26,7 @@
                 .unwrap_or_default();
             for (id, task) in keys {
                 self.detach(*mid, id, task);
-                self.lost_task(id);
+                self.handle_lost_task(id);
             }
         }
         let free = |c: &LeaderState, name: &str| match c.machines.id_of(name) {
@@ -36,7 +36,7 @@
         let hidden: Vec<String> =
             self.unreadable.machines().filter(|name| free(self, name)).cloned().collect();
         for name in hidden {
-            self.nothing_hidden(&name, "its lease has run out");
+            self.resolve_unreadable_machine_record(&name, "its lease has run out");
             if !self.machines.contains_name(&name) {
                 self.write_queue.delete_path(format!("m/{name}"));
             }
@@ -45,7 +45,7 @@
     }
 
     /// It is known by now what is on this machine, whose record can't be used.
-    pub(crate) fn nothing_hidden(&mut self, name: &str, why: &str) {
+    pub(crate) fn resolve_unreadable_machine_record(&mut self, name: &str, why: &str) {
         if self.unreadable.remove_machine(name) {
             tracing::info!("what m/{name} may have held is known: {why}");
             self.placement_pending = true;
@@ -60,10 +60,10 @@
         let keys: Vec<(JobId, u32)> = m.assignments.keys().copied().collect();
         for (id, task) in keys {
             self.detach(mid, id, task);
-            self.lost_task(id);
+            self.handle_lost_task(id);
         }
         self.machines.remove(&mid);
-        self.nothing_hidden(&name, "the cloud has taken it back");
+        self.resolve_unreadable_machine_record(&name, "the cloud has taken it back");
         self.write_queue.forget(&RecordKey::Machine(mid));
         self.write_queue.delete_path(format!("m/{name}"));
         for pack in self.packs.remove(mid) {
--- a/crates/core/src/workers/nudges.rs
+++ b/crates/core/src/workers/nudges.rs
@@ -14,14 +14,14 @@
 const NUDGE: &str = "nudge";
 
 /// An order that its worker refuses, and shows in its next report.
-pub(super) fn nudge(attempt: u64) -> Order {
+pub(super) fn report_request_order(attempt: u64) -> Order {
     // Each a task of its own: the one before may not be forgotten yet.
     Order::Run { task_id: format!("{NUDGE}/{}", attempt & 0xff_ffff), attempt }
 }
 
 impl LeaderState {
     /// These keys are safe: whose starts wait for a report is asked for one.
-    pub(crate) fn nudge(&mut self, keys: &[RecordKey]) {
+    pub(crate) fn request_reports(&mut self, keys: &[RecordKey]) {
         if !self.request_early_reports {
             return;
         }
@@ -33,7 +33,7 @@
             let attempt = self.new_attempt();
             let Some(m) = self.machines.get_mut(mid) else { continue };
             m.last_requested_report = m.last_report;
-            let orders = vec![nudge(attempt)];
+            let orders = vec![report_request_order(attempt)];
             let (addr, shift) = (m.addr.clone(), m.last_report.0);
             self.direct_requests.push(DirectRequest { machine: Some(*mid), addr, session: shift, orders });
         }
@@ -56,7 +56,7 @@
     }
 
     /// Is a nudge of this machine still of use?
-    pub fn nudge_helps(&self, mid: MachineId) -> bool {
+    pub fn is_report_request_useful(&self, mid: MachineId) -> bool {
         self.machines.get(&mid).is_some_and(|m| self.waits_for_report(mid, m))
     }
 }
@@ -65,13 +65,13 @@
 mod tests {
     use super::*;
     use crate::for_tests::*;
-    use crate::workers::reports::Taken;
+    use crate::workers::reports::ReportOutcome;
 
     /// A cell whose starts hurry, with one idle machine that has reported and was answered.
     fn hurried() -> (LeaderState, MachineId) {
         let mut c = cell();
         c.request_early_reports = true;
-        exchange(&mut c, &report(1, 1, TERM, &[]), T0);
+        exchange_report(&mut c, &report(1, 1, TERM, &[]), START_MS);
         let mid = c.machines.id_of("n-1").expect("there");
         (c, mid)
     }
@@ -79,7 +79,7 @@
     fn place_one(c: &mut LeaderState) -> usize {
         add_job(c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
         commit(c);
-        c.place(T0 + 100);
+        c.run_placement_pass(START_MS + 100);
         assert!(c.direct_requests.is_empty(), "nothing before it is recorded");
         commit(c);
         c.direct_requests.len()
@@ -93,25 +93,25 @@
         let is_nudge =
             |o: &Order| matches!(o, Order::Run { task_id, .. } if task_id.starts_with(NUDGE));
         assert!(d.orders.len() == 1 && d.orders.iter().all(is_nudge), "no start: {:?}", d.orders);
-        assert!(c.nudge_helps(mid));
+        assert!(c.is_report_request_useful(mid));
         // Recorded again, it is not asked again; its report carries the start, and the nudge is of no use any more.
         c.mark_dirty(RecordKey::Machine(mid));
         commit(&mut c);
         assert!(c.direct_requests.is_empty());
         let r = report(1, 2, TERM, &[("nudge/9", 9, "ended:no_such")]);
-        assert_eq!(c.on_report(&r, T0 + 200), Taken::Answer(mid));
-        assert!(!c.nudge_helps(mid), "a report waits for its answer");
-        let orders = c.orders(mid, (1, 2), T0 + 200, true).expect("orders").orders;
+        assert_eq!(c.on_report(&r, START_MS + 200), ReportOutcome::Answer(mid));
+        assert!(!c.is_report_request_useful(mid), "a report waits for its answer");
+        let orders = c.issue_orders(mid, (1, 2), START_MS + 200, true).expect("orders").orders;
         assert!(
             matches!(&orders[..], [Order::Forget { task_id, .. }, Order::Run { task_id: run, .. }]
             if task_id == "nudge/9" && run == "wk-1/0")
         );
-        assert!(!c.nudge_helps(mid) && c.machines[&mid].machine_failures == 0);
+        assert!(!c.is_report_request_useful(mid) && c.machines[&mid].machine_failures == 0);
         // While the report waits at the door, its response is the quicker way.
         let (mut c, mid) = hurried();
-        c.on_report(&report(1, 2, TERM, &[]), T0 + 90);
+        c.on_report(&report(1, 2, TERM, &[]), START_MS + 90);
         assert_eq!(place_one(&mut c), 0);
-        assert_eq!(c.orders(mid, (1, 2), T0 + 200, true).expect("orders").orders.len(), 1);
+        assert_eq!(c.issue_orders(mid, (1, 2), START_MS + 200, true).expect("orders").orders.len(), 1);
         // One that has not shown this term is not started on.
         let (mut c, mid) = hurried();
         c.machines.get_mut(&mid).expect("there").fenced = false;
@@ -129,7 +129,7 @@
             (4, vec![("wk-1/0", (TERM << 24) + 1, "ended:done"), ("nudge/5", 5, "running")]),
         ] {
             let r = report(1, tally, TERM, &parcels);
-            let orders = exchange(&mut c, &r, T0 + 1000 * tally);
+            let orders = exchange_report(&mut c, &r, START_MS + 1000 * tally);
             let runs = orders.iter().filter(|o| matches!(o, Order::Run { .. })).count();
             assert_eq!(runs, usize::from(tally == 2), "{orders:?}");
         }
@@ -149,9 +149,9 @@
             ),
             ("objectives = []", 8.0, false),
         ] {
-            let mut s = sample_with(&[(OBJECTIVES, objectives)]);
+            let mut s = sample_settings_with(&[(OBJECTIVES_LINE, objectives)]);
             s.deployment.workers.report_s = report_s;
-            assert_eq!(s.starts_hurry(), hurry, "{objectives}");
+            assert_eq!(s.needs_early_reports(), hurry, "{objectives}");
         }
     }
 }
--- a/crates/core/src/workers/orders.rs
+++ b/crates/core/src/workers/orders.rs
@@ -10,7 +10,7 @@
 impl LeaderState {
     /// Is every `run` that this machine waits for safe to send? A `forget` is not waited for: it
     /// goes with a later response, once its record is safe.
-    pub fn orders_ready(&self, mid: MachineId) -> bool {
+    pub fn can_send_orders(&self, mid: MachineId) -> bool {
         let Some(m) = self.machines.get(&mid) else { return true };
         let key = RecordKey::Machine(mid);
         m.assignments.values().all(|e| e.run_sent_with.is_some() || e.unconfirmed || self.is_saved(&key, e.ver))
@@ -24,7 +24,7 @@
 
     /// The orders for a machine, in the response to its report `at`. None if a newer report has
     /// come in since: its response is the one that counts.
-    pub fn orders(
+    pub fn issue_orders(
         &mut self,
         mid: MachineId,
         at: (u64, u64),
@@ -32,7 +32,7 @@
         lead: bool,
     ) -> Option<Orders> {
         const MOST: usize = 300;
-        let sign = if self.machines.get(&mid)?.last_report == at { self.ask_for_sign(mid) } else { None };
+        let sign = if self.machines.get(&mid)?.last_report == at { self.delivery_probe(mid) } else { None };
         let key = RecordKey::Machine(mid);
         let m = self.machines.get(&mid)?;
         if m.last_report != at {
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -1,6 +1,6 @@
 //! Reports: what they prove and what follows.
 
-use crate::records::{OnRecord, to_ranges};
+use crate::records::{AssignmentRecord, to_ranges};
 use crate::state::cell::LeaderState;
 use crate::state::job::WaitReason;
 use crate::state::ledger::RecordKey;
@@ -13,7 +13,7 @@
 
 /// What a report came to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReportOutcome {
     /// Answer it with the orders of this machine, once they are safe.
     Answer(MachineId),
     /// Older than what is known: no answer helps.
@@ -23,48 +23,48 @@
     Malformed(&'static str),
 }
 
-pub(super) fn split(parcel: &str) -> Option<(&str, u32)> {
+pub(super) fn parse_task_id(parcel: &str) -> Option<(&str, u32)> {
     let (uid, task) = parcel.rsplit_once('/')?;
     Some((uid, task.parse().ok()?))
 }
 
 impl LeaderState {
     /// Takes a report in. Pure bookkeeping; the orders follow with `orders`.
-    pub fn on_report(&mut self, r: &Report, now: u64) -> Taken {
+    pub fn on_report(&mut self, r: &Report, now: u64) -> ReportOutcome {
         if r.term > self.term {
-            return Taken::NewerTerm(r.term);
+            return ReportOutcome::NewerTerm(r.term);
         }
         self.advance_fairness(now);
         if self.fleet.is_gone(&r.machine) {
             // A report held back by the network, from a machine that the cloud has since confirmed
             // as gone: what it lists is nowhere any more.
-            return Taken::Stale;
+            return ReportOutcome::Stale;
         }
         let mid = match self.machines.id_of(r.machine.as_str()) {
             Some(mid) => mid,
             None => {
                 if r.machine.is_empty() || r.machine.len() > 100 || r.machine.contains([' ', '/']) {
-                    return Taken::Malformed("name of the machine");
+                    return ReportOutcome::Malformed("name of the machine");
                 }
                 let (Some(kind), Some(zone)) =
                     (self.names.types.get(&r.machine_type), self.names.zones.get(&r.zone))
                 else {
-                    return Taken::Malformed("unknown machine type or zone");
+                    return ReportOutcome::Malformed("unknown machine type or zone");
                 };
                 if kind.index() >= self.flavors.len() {
-                    return Taken::Malformed("unknown machine type");
+                    return ReportOutcome::Malformed("unknown machine type");
                 }
                 self.add_machine(&r.machine, &r.addr, kind, zone, r.spot, now)
             }
         };
         let rented = self.fleet.finish_boot(&r.machine, now);
-        let Some(m) = self.machines.get_mut(&mid) else { return Taken::Stale };
+        let Some(m) = self.machines.get_mut(&mid) else { return ReportOutcome::Stale };
         m.paid_since = rented.unwrap_or(m.paid_since);
         if (r.session, r.sequence) <= m.last_report {
-            return Taken::Stale;
+            return ReportOutcome::Stale;
         }
-        self.listen(mid, r, now);
-        let Some(m) = self.machines.get_mut(&mid) else { return Taken::Stale };
+        self.update_responsiveness(mid, r, now);
+        let Some(m) = self.machines.get_mut(&mid) else { return ReportOutcome::Stale };
         if m.last_report_at == 0 {
             m.idle_since = now;
             self.placement_pending = true;
@@ -80,16 +80,16 @@
         }
         m.reclaim_at = r.reclaim_in_s.map(|s| now + (s.clamp(0.0, 86_400.0) * 1000.0) as u64);
         if first {
-            self.square(mid, r, now);
+            self.reconcile_first_report(mid, r, now);
         }
         let hidden = self.unreadable.has_machine(&r.machine) || self.unreadable.has_unreadable_pack();
-        let Some(m) = self.machines.get_mut(&mid) else { return Taken::Stale };
+        let Some(m) = self.machines.get_mut(&mid) else { return ReportOutcome::Stale };
         m.ended_tasks.clear();
         m.orphan_tasks.clear();
         let mut listed: BTreeSet<(JobId, u32)> = BTreeSet::new();
         let mut foreign: BTreeMap<(&str, u64), BTreeSet<u32>> = BTreeMap::new();
         for p in &r.tasks {
-            let Some((uid, task)) = split(&p.task_id) else { continue };
+            let Some((uid, task)) = parse_task_id(&p.task_id) else { continue };
             let known = self.jobs.id_of(uid);
             if p.status == "ended" {
                 let done = p.cause.as_deref() == Some("done");
@@ -100,7 +100,7 @@
                     if entry.is_some_and(|e| e.attempt == p.attempt) {
                         self.on_ended(mid, id, task, p, now);
                     } else if done {
-                        self.task_done(id, task);
+                        self.mark_task_done(id, task);
                     }
                 }
                 if let Some(m) = self.machines.get_mut(&mid) {
@@ -156,7 +156,7 @@
                 .collect();
             for (id, task) in absent {
                 self.detach(mid, id, task);
-                self.lost_task(id);
+                self.handle_lost_task(id);
             }
             self.show_hidden(mid, foreign);
         }
@@ -169,7 +169,7 @@
         {
             m.idle_since = now;
         }
-        Taken::Answer(mid)
+        ReportOutcome::Answer(mid)
     }
 
     fn on_seen(
@@ -244,9 +244,9 @@
     /// among it. Its record is written anew if that differs.
     fn show_hidden(&mut self, mid: MachineId, foreign: BTreeMap<(&str, u64), BTreeSet<u32>>) {
         let Some(m) = self.machines.get_mut(&mid) else { return };
-        let foreign: Vec<OnRecord> = foreign
+        let foreign: Vec<AssignmentRecord> = foreign
             .into_iter()
-            .map(|((j, t), tasks)| OnRecord { j: j.into(), t, r: to_ranges(tasks) })
+            .map(|((j, t), tasks)| AssignmentRecord { job: j.into(), attempt: t, task_ranges: to_ranges(tasks) })
             .collect();
         let name = m.name.clone();
         if m.unreadable_job_tasks != foreign {
@@ -256,7 +256,7 @@
         }
         if self.unreadable.has_machine(&name) {
             self.mark_dirty(RecordKey::Machine(mid));
-            self.nothing_hidden(&name, "it has reported");
+            self.resolve_unreadable_machine_record(&name, "it has reported");
         }
     }
 
@@ -285,16 +285,16 @@
                 if spec.shape == JobKind::Gang {
                     // If one task of a gang is done, all are.
                     for t in 0..spec.tasks {
-                        self.task_done(id, t);
+                        self.mark_task_done(id, t);
                     }
                 } else if spec.shape == JobKind::Array {
-                    self.task_done(id, task);
+                    self.mark_task_done(id, task);
                 }
             }
             Some("error" | "no_such") => {
                 // Failed before it was ever seen to run: within the time between two reports.
                 let began = if entry.running_since > 0 { entry.running_since } else { now };
-                self.on_error(mid, id, now.saturating_sub(began), now);
+                self.handle_task_failure(mid, id, now.saturating_sub(began), now);
             }
             Some("full" | "busy") => {
                 if let Some(job) = self.jobs.get_mut(&id) {
@@ -304,7 +304,7 @@
             _ => {}
         }
         if p.cause.as_deref() != Some("done") {
-            self.lost_task(id);
+            self.handle_lost_task(id);
             if spec.shape != JobKind::Gang {
                 return;
             }
@@ -319,7 +319,7 @@
             }
             // Any other task that exits by itself (refused, failed) ends the attempt for all: its
             // mates would only wait out their time.
-            self.stop_all(id, now, 0.0);
+            self.stop_all_tasks(id, now, 0.0);
         }
     }
 
--- a/crates/core/src/workers/squaring.rs
+++ b/crates/core/src/workers/squaring.rs
@@ -3,14 +3,14 @@
 
 use crate::state::cell::LeaderState;
 use crate::state::names::*;
-use crate::workers::reports::split;
+use crate::workers::reports::parse_task_id;
 use copperhaven_recovery::Machine;
 use copperhaven_recovery::square::{TaskComparison, ReportedTask, ReconcileOutcome, ReportedState, reconcile};
 use copperhaven_wire::workers::Report;
 use std::collections::BTreeMap;
 
 impl LeaderState {
-    pub(super) fn square(&mut self, mid: MachineId, r: &Report, now: u64) {
+    pub(super) fn reconcile_first_report(&mut self, mid: MachineId, r: &Report, now: u64) {
         self.recovery.machine_reported(Machine(mid.0), now);
         let Some(m) = self.machines.get(&mid) else { return };
         let mut tasks: BTreeMap<(Option<JobId>, &str, u32), TaskComparison> = BTreeMap::new();
@@ -24,7 +24,7 @@
             tasks.insert((Some(*id), "", *task), pair);
         }
         for p in &r.tasks {
-            let Some((uid, task)) = split(&p.task_id) else { continue };
+            let Some((uid, task)) = parse_task_id(&p.task_id) else { continue };
             let state = match (p.status.as_str(), p.cause.as_deref()) {
                 ("ended", Some("done")) => ReportedState::Done,
                 ("ended", _) => ReportedState::Ended,
@@ -44,7 +44,7 @@
     }
 
     /// The bound of hearing is over, or all were heard: what is still not heard is counted as that.
-    pub fn close_squaring(&mut self) {
+    pub fn close_reconciliation(&mut self) {
         let inherited = |m: &crate::state::machine::Machine| m.assignments.len() as u64;
         let unheard = self.machines.values().filter(|m| !m.fenced).map(inherited).sum();
         self.reconciliation.add(ReconcileOutcome::MachineUnreported, unheard);
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -42,7 +42,7 @@
     }
 
     /// Stops every task of a job, all at once.
-    pub fn stop_all(&mut self, id: JobId, now: u64, grace: f64) {
+    pub fn stop_all_tasks(&mut self, id: JobId, now: u64, grace: f64) {
         let places: Vec<(MachineId, u32)> = match self.jobs.get(&id) {
             Some(job) if !job.placement_counts.is_empty() => self
                 .machines
@@ -61,7 +61,7 @@
     /// A task is gone from its machine without being done. A gang that has started, or is being
     /// stopped, starts over as a whole once all its tasks are gone; one that has not started gets
     /// a replacement with the same attempt.
-    pub fn lost_task(&mut self, id: JobId) {
+    pub fn handle_lost_task(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         if job.spec.shape != JobKind::Gang || !job.is_open() {
             return;
@@ -73,7 +73,7 @@
             return;
         }
         if job.gang_started {
-            self.stop_all(id, self.took_over_at, 0.0);
+            self.stop_all_tasks(id, self.took_over_at, 0.0);
         }
     }
 
@@ -110,7 +110,7 @@
         for id in gangs {
             let grace = self.jobs.get(&id).map_or(0.0, |j| j.spec.checkpoint_save_s + 1.0);
             let slow = self.machines.get(&mid).is_some_and(|m| m.slow);
-            self.stop_all(id, now, if faulty && !slow { 0.0 } else { grace });
+            self.stop_all_tasks(id, now, if faulty && !slow { 0.0 } else { grace });
         }
     }
 }
--- a/crates/core/tests/failures/leaders.rs
+++ b/crates/core/tests/failures/leaders.rs
@@ -1,12 +1,12 @@
 //! Leaders that are elected, lead, and answer; and the network between all.
 
 use crate::world::*;
-use copperhaven_core::records::{Change, Cond, Record};
+use copperhaven_core::records::{Change, Condition, Record};
 use copperhaven_core::settings::NextLimits;
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::names::Names;
 use copperhaven_core::takeover::{Records, rebuild};
-use copperhaven_core::workers::reports::Taken;
+use copperhaven_core::workers::reports::ReportOutcome;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
         self.key = Some((self.term, self.rev, self.now + ttl));
         let mut names = Names::new(&self.settings);
         let flavors = flavors(&mut names);
-        let leader = Cond { path: "c/leader".into(), stamp: self.rev };
+        let leader = Condition { path: "c/leader".into(), revision: self.rev };
         let (term, now) = (self.term, self.now);
         // The version before doesn't know what is announced.
         let mut settings = (*self.settings).clone();
@@ -32,7 +32,7 @@
         let mut read = Records::default();
         for (path, (record, stamp)) in &self.store {
             if self.spoiled.contains_key(path) {
-                read.bad.push((path.clone(), *stamp));
+                read.unreadable.push((path.clone(), *stamp));
                 continue;
             }
             match record.clone() {
@@ -42,17 +42,17 @@
                 Record::Pack(x) => read.packs.push((path.clone(), x, *stamp)),
                 Record::Rental(x) => read.rentals.push((path.clone(), x, *stamp)),
                 Record::Service(x) => read.service.push((path.clone(), x, *stamp)),
-                Record::Links(x) => read.links.push((path.clone(), x, *stamp)),
+                Record::Links(x) => read.dependency_lists.push((path.clone(), x, *stamp)),
                 _ => {}
             }
         }
-        let bad: BTreeSet<String> = read.bad.iter().map(|(path, _)| path.clone()).collect();
+        let bad: BTreeSet<String> = read.unreadable.iter().map(|(path, _)| path.clone()).collect();
         self.found += bad.len();
         if now + NEW >= self.falls {
             cell.write_queue.value_limit = LOW;
         }
         cell.request_early_reports = hurry;
-        read.packed = self.packs.contains(&term);
+        read.packs_enabled = self.packs.contains(&term);
         rebuild(&mut cell, read, now, now);
         let mut cut: BTreeSet<usize> =
             (0..self.workers.len()).filter(|_| self.rng.random_bool(0.15)).collect();
@@ -88,7 +88,7 @@
 
     pub fn run_leaders(&mut self) {
         let now = self.now;
-        let holding = self.settings.holding_ms();
+        let holding = self.settings.renewal_grace_ms();
         let ttl = self.settings.tuning.leader_lease_ms;
         if self.key.is_some_and(|(_, _, until)| now > until) {
             self.key = None;
@@ -122,21 +122,21 @@
             }
             let lead = self.lead(&self.leaders[k]);
             let l = &mut self.leaders[k];
-            l.cell.expire(now);
+            l.cell.expire_leases(now);
             self.deaf += l.cell.machines.values().filter(|m| m.response_tracker.is_unresponsive()).count();
-            l.cell.move_lists(1);
+            l.cell.migrate_machines_to_packs(1);
             l.cell.placement_pending = true;
             if lead {
-                l.cell.place(now);
+                l.cell.run_placement_pass(now);
             }
             let direct = std::mem::take(&mut l.cell.direct_requests);
             let (term, cut) = (l.term, l.cut.clone());
-            l.cell.follow(now);
+            l.cell.propagate_dependencies(now);
             if now.is_multiple_of(2000) {
                 l.cell.record_fairness();
             }
             let ops = if l.cell.write_queue.value_limit == LOW { 5 } else { 16 };
-            let batch = (l.store && !l.writing).then(|| l.cell.batch(ops)).flatten();
+            let batch = (l.store && !l.writing).then(|| l.cell.next_batch(ops)).flatten();
             let ask = if l.store { l.cell.dependencies.next_unread_outcomes(2) } else { vec![] };
             for d in direct {
                 let i: usize = d.addr.parse().expect("address");
@@ -178,9 +178,9 @@
         let mut out = vec![];
         for (i, at, tally) in waiting {
             let Some(mid) = l.cell.machines.id_of(&format!("n-{i:03}")) else { continue };
-            if lead && !l.cell.orders_ready(mid) {
+            if lead && !l.cell.can_send_orders(mid) {
                 l.waiting.push((i, at, tally));
-            } else if let Some(o) = l.cell.orders(mid, at, now, lead) {
+            } else if let Some(o) = l.cell.issue_orders(mid, at, now, lead) {
                 out.push((i, Msg::Response(i, o.term, at.0, tally, o.orders)));
             }
         }
@@ -207,7 +207,7 @@
         let now = self.now;
         for (uid, body) in &self.submitted {
             let cell = &self.leaders[k].cell;
-            let Some(shown) = cell.show(uid) else {
+            let Some(shown) = cell.job_status(uid) else {
                 let final_on_record = self.store.contains_key(&format!("f/{uid}"));
                 let aside = cell.unreadable.job_reason(uid).is_some();
                 let known = cell.jobs.contains_name(uid.as_str()) || final_on_record || aside;
@@ -263,19 +263,19 @@
                 }
                 let lead = lead(l);
                 match l.cell.on_report(&report, now) {
-                    Taken::Answer(_) => {
+                    ReportOutcome::Answer(_) => {
                         if lead {
-                            l.cell.place(now);
+                            l.cell.run_placement_pass(now);
                         }
                         l.waiting.push((i, (report.session, report.sequence), report.sequence));
                     }
-                    Taken::NewerTerm(_) => l.renewed = 0,
+                    ReportOutcome::NewerTerm(_) => l.renewed = 0,
                     _ => {}
                 }
             }
             Msg::Copy(i, report) => {
                 let Some(l) = self.leaders.last_mut() else { return };
-                if let Taken::Answer(_) = l.cell.on_report(&report, now) {
+                if let ReportOutcome::Answer(_) = l.cell.on_report(&report, now) {
                     self.copies += 1;
                     l.waiting.push((i, (report.session, report.sequence), report.sequence));
                 }
@@ -322,12 +322,12 @@
             Msg::End(term, uid, done) => {
                 if let Some(l) = self.leaders.iter_mut().find(|l| l.term == term) {
                     l.cell.dependencies.resolve_outcome(&uid, done);
-                    l.cell.follow(now);
+                    l.cell.propagate_dependencies(now);
                 }
             }
             Msg::Commit(term, batch, lost) => {
                 let (ops, bytes) = self.limits(now);
-                let long = batch.changes.iter().any(|c| c.bytes() > bytes);
+                let long = batch.changes.iter().any(|c| c.encoded_len() > bytes);
                 if long || batch.changes.len() > ops || batch.conditions.len() > 4 * ops {
                     self.refused += 1;
                     let l = self.leaders.iter_mut().find(|l| l.term == term);
@@ -336,7 +336,7 @@
                     assert!(!new, "over the announced limits: {:?}", batch.keys);
                     if let Some(l) = l.filter(|_| !lost) {
                         l.writing = false;
-                        l.cell.malformed(&batch);
+                        l.cell.on_malformed(&batch);
                     }
                     return;
                 }
@@ -367,9 +367,9 @@
                 }
                 match outcome {
                     Ok(rev) => {
-                        l.cell.applied(&batch, rev);
+                        l.cell.on_applied(&batch, rev);
                         l.cell.write_queue.one_record_per_batch = false;
-                        l.cell.follow(now);
+                        l.cell.propagate_dependencies(now);
                     }
                     Err(keys) if keys.iter().any(|k| k == "c/leader") => l.renewed = 0,
                     Err(_) => {
@@ -378,7 +378,7 @@
                                 Some((Record::Final(f), _)) => Some(f.clone()),
                                 _ => None,
                             };
-                            l.cell.read_back(&key, seen.map(|(_, stamp)| stamp), last);
+                            l.cell.on_condition_failed(&key, seen.map(|(_, stamp)| stamp), last);
                         }
                     }
                 }
--- a/crates/core/tests/failures/users.rs
+++ b/crates/core/tests/failures/users.rs
@@ -1,9 +1,9 @@
 //! Users who submit, ask and cancel.
 
 use crate::world::*;
-use copperhaven_core::admission::shape::admit_shape;
+use copperhaven_core::admission::shape::resolve_spec;
 use copperhaven_core::for_tests::body;
-use copperhaven_core::pipelines::awaits::{Awaits, Named};
+use copperhaven_core::pipelines::awaits::{DependencyCheck, DependencyState};
 use copperhaven_core::records::Record;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
 use rand::Rng;
@@ -50,16 +50,16 @@
             let named: Vec<String> = named.into_iter().collect();
             let read = self.read(&named);
             let cell = &mut self.leaders[k].cell;
-            let named = match cell.look_at_awaits(&named, &read) {
-                Awaits::Open(open) => Some((named, (open, false))),
-                Awaits::Cancelled => Some((named, (vec![], true))),
-                Awaits::Later => None,
+            let named = match cell.check_dependencies(&named, &read) {
+                DependencyCheck::Open(open) => Some((named, (open, false))),
+                DependencyCheck::Cancelled => Some((named, (vec![], true))),
+                DependencyCheck::RetryLater => None,
                 other => panic!("{} on {named:?}: {other:?}", body.uid),
             };
             if let Some((named, names)) = named {
                 let (settings, flavors) = (cell.settings.clone(), cell.flavors.clone());
-                let spec = admit_shape(&body, &mut cell.names, &flavors, &settings);
-                cell.take_in(spec.expect("valid"), body.clone(), names, now, now);
+                let spec = resolve_spec(&body, &mut cell.names, &flavors, &settings);
+                cell.add_submitted_job(spec.expect("valid"), body.clone(), names, now, now);
                 body.depends_on = Some(named);
                 self.submitted.insert(body.uid.clone(), body);
             }
@@ -75,15 +75,15 @@
             let known = cell.jobs.contains_name(body.uid.as_str())
                 || cell.final_records.contains(body.uid.as_str())
                 || cell.unreadable.job_reason(&body.uid).is_some();
-            let names = match cell.look_at_awaits(&named, &read) {
-                Awaits::Open(open) => Some((open, false)),
-                Awaits::Cancelled => Some((vec![], true)),
+            let names = match cell.check_dependencies(&named, &read) {
+                DependencyCheck::Open(open) => Some((open, false)),
+                DependencyCheck::Cancelled => Some((vec![], true)),
                 _ => None,
             };
             if let Some(names) = names.filter(|_| !known) {
                 let (settings, flavors) = (cell.settings.clone(), cell.flavors.clone());
-                let spec = admit_shape(&body, &mut cell.names, &flavors, &settings);
-                cell.take_in(spec.expect("valid"), body, names, now, now);
+                let spec = resolve_spec(&body, &mut cell.names, &flavors, &settings);
+                cell.add_submitted_job(spec.expect("valid"), body, names, now, now);
             }
         }
         // Cancellations are common while an earlier leader holds machines that don't hear of this one, most of all at
@@ -122,12 +122,12 @@
     }
 
     /// What the records say of jobs that a submission names.
-    pub fn read(&self, named: &[String]) -> HashMap<String, Named> {
+    pub fn read(&self, named: &[String]) -> HashMap<String, DependencyState> {
         let seen = |uid: &String| match self.store.get(&format!("f/{uid}")) {
-            Some((Record::Final(f), _)) if f.done => Named::Done,
-            Some(_) => Named::Cancelled,
-            None if self.store.contains_key(&format!("j/{uid}")) => Named::Open,
-            None => Named::Never,
+            Some((Record::Final(f), _)) if f.done => DependencyState::Done,
+            Some(_) => DependencyState::Cancelled,
+            None if self.store.contains_key(&format!("j/{uid}")) => DependencyState::Open,
+            None => DependencyState::NeverAccepted,
         };
         named.iter().map(|uid| (uid.clone(), seen(uid))).collect()
     }
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -1,7 +1,7 @@
 //! The stand-ins' state, and the store.
 
-use copperhaven_core::for_tests::{OBJECTIVES, TEAMS, sample_with};
-use copperhaven_core::records::{Change, Cond, Record};
+use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, sample_settings_with};
+use copperhaven_core::records::{Change, Condition, Record};
 use copperhaven_core::settings::Settings;
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
@@ -141,7 +141,7 @@
 
 impl World {
     pub fn new(seed: u64) -> World {
-        let mut settings = sample_with(&[(TEAMS, OWN_TEAMS), ZONES, (OBJECTIVES, "")]);
+        let mut settings = sample_settings_with(&[(TEAMS_LINE, OWN_TEAMS), ZONES, (OBJECTIVES_LINE, "")]);
         // Every other schedule has aims that can't be met: teams and classes are in need, and the order
         // of service changes with what was served.
         if seed.is_multiple_of(2) {
@@ -222,14 +222,14 @@
 
     /// Applies a transaction if its conditions hold.
     pub fn apply(&mut self, batch: &Batch) -> Result<u64, Vec<String>> {
-        let stamp = |w: &World, c: &Cond| match c.path.as_str() {
+        let stamp = |w: &World, c: &Condition| match c.path.as_str() {
             "c/leader" => w.key.map_or(0, |(_, stamp, _)| stamp),
             path => w.store.get(path).map_or(0, |(_, s)| *s),
         };
         let failed: Vec<String> = batch
             .conditions
             .iter()
-            .filter(|c| stamp(self, c) != c.stamp)
+            .filter(|c| stamp(self, c) != c.revision)
             .map(|c| c.path.clone())
             .collect();
         if !failed.is_empty() {
@@ -238,11 +238,11 @@
         self.rev += 1;
         for change in &batch.changes {
             match change {
-                Change::Put { put, v, .. } => {
+                Change::Put { path: put, value: v, .. } => {
                     self.spoiled.remove(put);
                     self.store.insert(put.clone(), (v.clone(), self.rev));
                 }
-                Change::Delete { delete } => {
+                Change::Delete { path: delete } => {
                     self.spoiled.remove(delete);
                     self.store.remove(delete);
                 }
--- a/crates/core/tests/packs.rs
+++ b/crates/core/tests/packs.rs
@@ -1,8 +1,8 @@
 //! Lists of machines in packs: on which records each step rests, as tables. What runs while they move is played by
 //! the random schedules.
 
-use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, exchange, record, report};
-use copperhaven_core::records::{Change, OnRecord, PackRecord, Record};
+use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, exchange_report, job_record, report};
+use copperhaven_core::records::{Change, AssignmentRecord, PackRecord, Record};
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::takeover::{Records, rebuild};
@@ -18,7 +18,7 @@
     commit(&mut c);
     for n in 1..=count {
         let named = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
-        exchange(&mut c, &named(1), T0);
+        exchange_report(&mut c, &named(1), START_MS);
     }
     assert!(c.machines.values().all(|m| m.assignments.len() == 1), "one task each");
     c
@@ -28,14 +28,14 @@
 fn told(changes: &[Change]) -> BTreeMap<String, Option<Vec<String>>> {
     let lists = |v: &Record| match v {
         Record::Pack(p) => {
-            p.packed.iter().filter(|(_, m)| !m.on.is_empty()).map(|(n, _)| n.clone()).collect()
+            p.machines.iter().filter(|(_, m)| !m.assignments.is_empty()).map(|(n, _)| n.clone()).collect()
         }
-        Record::Machine(m) if !m.on.is_empty() => vec!["itself".into()],
+        Record::Machine(m) if !m.assignments.is_empty() => vec!["itself".into()],
         _ => vec![],
     };
     let one = |c: &Change| match c {
-        Change::Put { put, v, .. } => (put.clone(), Some(lists(v))),
-        Change::Delete { delete } => (delete.clone(), None),
+        Change::Put { path: put, value: v, .. } => (put.clone(), Some(lists(v))),
+        Change::Delete { path: delete } => (delete.clone(), None),
     };
     changes.iter().map(one).collect()
 }
@@ -45,25 +45,25 @@
     let mut c = running(3);
     c.pack_machines();
     assert_eq!(c.write_queue.dirty_count(), 0, "they move at a pace");
-    c.move_lists(1);
-    let batch = c.batch(16).expect("the first moves");
+    c.migrate_machines_to_packs(1);
+    let batch = c.next_batch(16).expect("the first moves");
     let all = Some(vec!["n-1".to_string(), "n-2".into(), "n-3".into()]);
     let one = Some(vec!["n-1".to_string()]);
     let expected = BTreeMap::from([("m/n-1".to_string(), None), ("p/0".into(), one)]);
     assert_eq!(told(&batch.changes), expected, "it goes only where it is listed");
-    c.applied(&batch, 2000);
-    c.move_lists(9);
-    let rest = c.batch(16).expect("the others");
+    c.on_applied(&batch, 2000);
+    c.migrate_machines_to_packs(9);
+    let rest = c.next_batch(16).expect("the others");
     let gone = |n: u32| (format!("m/n-{n}"), None);
     assert_eq!(told(&rest.changes), BTreeMap::from([gone(2), gone(3), ("p/0".into(), all)]));
-    c.applied(&rest, 2001);
-    assert!(c.batch(16).is_none());
+    c.on_applied(&rest, 2001);
+    assert!(c.next_batch(16).is_none());
     // Back, with room for one change at a time: until a machine's own record is safe its pack lists it.
     c.unpack_machines();
     let mut packed = 3;
     let mut own = 0;
     for rev in 2002.. {
-        let Some(batch) = c.batch(1) else { break };
+        let Some(batch) = c.next_batch(1) else { break };
         for (path, to) in told(&batch.changes) {
             match (path.as_str(), to) {
                 ("p/0", None) => packed = 0,
@@ -75,7 +75,7 @@
             }
         }
         assert!(packed + own >= 3, "{packed} in the pack, {own} with records of their own");
-        c.applied(&batch, rev);
+        c.on_applied(&batch, rev);
         c.check_invariants();
     }
     assert_eq!((packed, own, c.packs.is_empty()), (0, 3, true));
@@ -87,30 +87,30 @@
     c.pack_machines();
     for n in 1..=4 {
         let named = |tally| Report { machine: format!("n-{n}"), ..report(1, tally, TERM, &[]) };
-        c.on_report(&named(1), T0);
+        c.on_report(&named(1), START_MS);
     }
     for n in 1..=4 {
         add_job(&mut c, &format!("wk-{n}"), |b| (b.tasks, b.cpus, b.deadline_s) = (1, 4.0, None));
     }
     commit(&mut c);
-    c.place(T0 + 1);
-    let batch = c.batch(1).expect("one change");
+    c.run_placement_pass(START_MS + 1);
+    let batch = c.next_batch(1).expect("one change");
     let all = Some((1..=4).map(|n| format!("n-{n}")).collect());
     assert_eq!(told(&batch.changes), BTreeMap::from([("p/0".to_string(), all)]));
     assert_eq!(batch.keys.len(), 4);
-    c.applied(&batch, 2000);
+    c.on_applied(&batch, 2000);
     for mid in c.machines.keys().copied().collect::<Vec<_>>() {
-        assert!(c.orders_ready(mid), "all may be sent their tasks");
+        assert!(c.can_send_orders(mid), "all may be sent their tasks");
     }
     // A machine that is gone leaves its pack; the last one takes it with it.
     for (n, left) in [(2, 3), (1, 2), (4, 1)] {
-        c.returned(&[format!("n-{n}")]);
-        let batch = c.batch(16).expect("the pack without it");
+        c.on_returned(&[format!("n-{n}")]);
+        let batch = c.next_batch(16).expect("the pack without it");
         let list = told(&batch.changes).remove("p/0").flatten();
         assert_eq!(list.map(|l| l.len()), Some(left));
-        c.applied(&batch, 3000 + n);
+        c.on_applied(&batch, 3000 + n);
     }
-    c.returned(&["n-3".to_string()]);
+    c.on_returned(&["n-3".to_string()]);
     assert_eq!(told(&commit(&mut c)).remove("p/0"), Some(None));
 }
 
@@ -120,7 +120,7 @@
     // start its tasks elsewhere.
     let mut c = running(6);
     c.pack_machines();
-    c.move_lists(9);
+    c.migrate_machines_to_packs(9);
     commit(&mut c);
     let ids: Vec<_> = c.machines.keys().copied().collect();
     let lists = |names: &[u32]| {
@@ -130,20 +130,20 @@
     };
     // Five of six would be written along: the sixth goes to a pack of its own.
     c.mark_dirty(RecordKey::Machine(ids[5]));
-    let batch = c.batch(16).expect("one list");
+    let batch = c.next_batch(16).expect("one list");
     assert_eq!(told(&batch.changes), BTreeMap::from([("p/1".to_string(), lists(&[6]))]));
     // Its outcome is unknown. What is written of the pack where it was goes on listing it.
     ids[..5].iter().for_each(|mid| {
         c.mark_dirty(RecordKey::Machine(*mid));
     });
-    c.returned(&["n-1".to_string()]);
-    let batch = c.batch(1).expect("the pack");
+    c.on_returned(&["n-1".to_string()]);
+    let batch = c.next_batch(1).expect("the pack");
     let told_of = told(&batch.changes);
     assert_eq!(told_of.len(), 1);
     for (path, list) in &told_of {
         assert_eq!(*list, lists(&[2, 3, 4, 5, 6]), "{path}");
     }
-    c.applied(&batch, 2000);
+    c.on_applied(&batch, 2000);
     commit(&mut c);
     // Safe at its new place, it is listed there alone with the next write of the old one.
     let home = c.packs.pack_of(ids[5]).expect("packed");
@@ -163,7 +163,7 @@
 fn where_the_limit_has_fallen_what_is_written_keeps_to_it() {
     let mut c = running(8);
     c.pack_machines();
-    c.move_lists(9);
+    c.migrate_machines_to_packs(9);
     commit(&mut c);
     c.write_queue.value_limit = 4096;
     c.pack_machines();
@@ -173,7 +173,7 @@
         c.mark_dirty(RecordKey::Machine(mid));
     });
     for change in commit(&mut c) {
-        assert!(change.bytes() <= 512, "{}: {}", change.path(), change.bytes());
+        assert!(change.encoded_len() <= 512, "{}: {}", change.path(), change.encoded_len());
     }
     assert_eq!((c.write_queue.dirty_count(), c.write_queue.held_back_count()), (0, 0));
     // Too short for packs at all: each has a record of its own again, and no pack is left.
@@ -187,21 +187,21 @@
     let machine = |(name, berth, job): &(&str, &str, &str)| {
         let on = match *job {
             "" => vec![],
-            job => vec![OnRecord { j: job.into(), t: 9, r: vec![0, 1] }],
+            job => vec![AssignmentRecord { job: job.into(), attempt: 9, task_ranges: vec![0, 1] }],
         };
         let (addr, yard, spot, shift) = (format!("{name}:9"), "north".into(), false, 1);
         let berth = berth.to_string();
         (
             name.to_string(),
-            copperhaven_core::records::MachineRecord { addr, berth, yard, spot, shift, on },
+            copperhaven_core::records::MachineRecord { addr, machine_type: berth, zone: yard, spot, session: shift, assignments: on },
         )
     };
-    PackRecord { packed: lists.iter().map(machine).collect() }
+    PackRecord { machines: lists.iter().map(machine).collect() }
 }
 
 #[test]
 fn what_can_t_be_used_of_a_pack_is_left_and_counts() {
-    let job = |uid: &str| (format!("j/{uid}"), record(uid), 7);
+    let job = |uid: &str| (format!("j/{uid}"), job_record(uid), 7);
     // (packs, unreadable ones, are tasks of wk-1 held, packs that are never written)
     type Row = (
         &'static str,
@@ -237,16 +237,16 @@
         let packs = packs.into_iter().map(|(path, r)| (path.to_string(), r, 7)).collect();
         let bad = bad.iter().map(|path| (path.to_string(), 7)).collect();
         let read =
-            Records { jobs: vec![job("wk-1")], packs, bad, packed: true, ..Records::default() };
-        rebuild(&mut c, read, T0, T0);
+            Records { jobs: vec![job("wk-1")], packs, unreadable: bad, packs_enabled: true, ..Records::default() };
+        rebuild(&mut c, read, START_MS, START_MS);
         // Another machine comes and has room: whatever may be elsewhere is not started there.
         let other = |tally| Report {
             machine: "n-9".into(),
             machine_type: "big".into(),
             ..report(1, tally, TERM, &[])
         };
-        c.on_report(&other(1), T0 + 10);
-        c.place(T0 + 20);
+        c.on_report(&other(1), START_MS + 10);
+        c.run_placement_pass(START_MS + 20);
         let on = |c: &LeaderState| {
             let mid = c.machines.id_of("n-9").expect("there");
             c.machines[&mid].assignments.keys().any(|(_, task)| *task == 0)
@@ -256,10 +256,10 @@
             assert!(change.path() != sealed, "{what}: {} is written", change.path());
         }
         // Until nothing can be running there any more.
-        let over = T0 + c.settings.holding_ms() + c.settings.lease_ms() + 1_000;
+        let over = START_MS + c.settings.renewal_grace_ms() + c.settings.max_worker_lease_ms() + 1_000;
         c.on_report(&other(2), over);
-        c.expire(over);
-        c.place(over);
+        c.expire_leases(over);
+        c.run_placement_pass(over);
         assert!(on(&c), "{what}: at last");
         c.check_invariants();
     }
@@ -280,7 +280,7 @@
         let stamp = |path: &str| self.pairs.get(path).map_or(0, |(_, s)| *s);
         let failed: Vec<String> = batch.conditions[1..]
             .iter()
-            .filter(|c| stamp(&c.path) != c.stamp)
+            .filter(|c| stamp(&c.path) != c.revision)
             .map(|c| c.path.clone())
             .collect();
         if !failed.is_empty() {
@@ -289,10 +289,10 @@
         self.rev += 1;
         for change in &batch.changes {
             match change {
-                Change::Put { put, v, .. } => {
+                Change::Put { path: put, value: v, .. } => {
                     self.pairs.insert(put.clone(), (v.clone(), self.rev));
                 }
-                Change::Delete { delete } => {
+                Change::Delete { path: delete } => {
                     self.pairs.remove(delete);
                 }
             }
@@ -303,19 +303,19 @@
     /// All that the records say may be on a machine.
     fn lists(&self, name: &str, uid: &str, task: u32) -> bool {
         let on = |m: &copperhaven_core::records::MachineRecord| {
-            m.on.iter().any(|on| {
-                on.j == uid && copperhaven_core::records::from_ranges(&on.r).any(|t| t == task)
+            m.assignments.iter().any(|on| {
+                on.job == uid && copperhaven_core::records::from_ranges(&on.task_ranges).any(|t| t == task)
             })
         };
         self.pairs.iter().any(|(path, (v, _))| match v {
-            Record::Pack(p) => p.packed.get(name).is_some_and(on),
+            Record::Pack(p) => p.machines.get(name).is_some_and(on),
             Record::Machine(m) => path == &format!("m/{name}") && on(m),
             _ => false,
         })
     }
 
     fn records(&self, packed: bool) -> Records {
-        let mut read = Records { packed, ..Records::default() };
+        let mut read = Records { packs_enabled: packed, ..Records::default() };
         for (path, (record, stamp)) in &self.pairs {
             match record.clone() {
                 Record::Job(x) => read.jobs.push((path.clone(), *x, *stamp)),
@@ -340,7 +340,7 @@
     for seed in 0..12u64 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store = Store::default();
-        let (mut c, mut now, mut jobs) = (cell(), T0, 0);
+        let (mut c, mut now, mut jobs) = (cell(), START_MS, 0);
         let mut tallies: BTreeMap<u32, u64> = BTreeMap::new();
         // What each worker runs: attempts by task.
         let mut runs: BTreeMap<u32, BTreeMap<String, u64>> = BTreeMap::new();
@@ -378,9 +378,9 @@
                     listed.iter().filter(|l| l.2 != "running").map(|l| l.0.to_string()).collect();
                 c.on_report(&r, now);
                 on.retain(|p, _| !ended.contains(p));
-                c.place(now);
+                c.run_placement_pass(now);
                 let mid = c.machines.id_of(&r.machine).expect("there");
-                for order in c.orders(mid, (1, *tally), now, true).expect("orders").orders {
+                for order in c.issue_orders(mid, (1, *tally), now, true).expect("orders").orders {
                     match order {
                         copperhaven_wire::workers::Order::Run { task_id: parcel, attempt } => {
                             let (uid, task) = parcel.split_once('/').expect("parcel");
@@ -400,18 +400,18 @@
                 }
             }
             if rng.random_bool(0.5)
-                && let Some(batch) = c.batch(rng.random_range(1..6))
+                && let Some(batch) = c.next_batch(rng.random_range(1..6))
             {
                 let arrives = rng.random_bool(0.9);
                 let outcome = if arrives { Some(store.commit(&batch)) } else { None };
                 match outcome {
                     // Applied or not, nobody is told.
                     _ if rng.random_bool(0.1) => {}
-                    Some(Ok(rev)) => c.applied(&batch, rev),
+                    Some(Ok(rev)) => c.on_applied(&batch, rev),
                     Some(Err(keys)) => {
                         for key in keys {
                             let stamp = store.pairs.get(&key).map(|(_, s)| *s);
-                            c.read_back(&key, stamp, None);
+                            c.on_condition_failed(&key, stamp, None);
                         }
                     }
                     None => {}
@@ -425,7 +425,7 @@
                 c.term = term;
                 rebuild(&mut c, store.records(packed), now, now);
             }
-            c.move_lists(4);
+            c.migrate_machines_to_packs(4);
             for (n, on) in &runs {
                 for parcel in on.keys() {
                     let (uid, task) = parcel.split_once('/').expect("parcel");
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -1,6 +1,6 @@
 //! Placement passes with their bounds and without come to the same, whatever happens in between.
 
-use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, report};
+use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, report};
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
@@ -90,7 +90,7 @@
 
 fn play(steps: &[Step]) -> Result<(usize, usize), TestCaseError> {
     let (mut new, mut plain) = (cell(), cell());
-    let (mut now, mut jobs, mut stops, mut on) = (T0, 0, 0, 0);
+    let (mut now, mut jobs, mut stops, mut on) = (START_MS, 0, 0, 0);
     for step in steps {
         now += 1;
         match step {
@@ -105,17 +105,17 @@
             Step::Report(i, luck) => {
                 let r = told(&new, *i, *luck, now);
                 for c in [&mut new, &mut plain] {
-                    if let copperhaven_core::workers::reports::Taken::Answer(mid) =
+                    if let copperhaven_core::workers::reports::ReportOutcome::Answer(mid) =
                         c.on_report(&r, now)
                     {
                         commit(c);
-                        c.orders(mid, (r.session, r.sequence), now, true);
+                        c.issue_orders(mid, (r.session, r.sequence), now, true);
                     }
                 }
             }
             Step::Pass => {
-                new.place(now);
-                plain.place_plainly(now);
+                new.run_placement_pass(now);
+                plain.run_placement_pass_without_pruning(now);
             }
             Step::Wait(ms) => now += ms,
         }
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -1,6 +1,6 @@
 //! Copies of one machine's reports, late, repeated and in any order: what counts is the newest, whenever it arrives.
 
-use copperhaven_core::for_tests::{T0, TERM, add_job, cell, commit, exchange, report};
+use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, exchange_report, report};
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::workers::{Order, Report};
@@ -13,7 +13,7 @@
     let mut c = cell();
     add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (TASKS, 0.5, None));
     commit(&mut c);
-    let orders = exchange(&mut c, &report(1, 1, TERM, &[]), T0);
+    let orders = exchange_report(&mut c, &report(1, 1, TERM, &[]), START_MS);
     let run = |o: Order| match o {
         Order::Run { task_id: parcel, attempt } => (parcel, attempt),
         o => panic!("{o:?}"),
@@ -65,14 +65,14 @@
         let (mut alone, tasks) = begun();
         let all = reports(&tasks, &steps, lapse);
         let newest = all.last().expect("one at least");
-        alone.on_report(newest, T0 + 5_000);
+        alone.on_report(newest, START_MS + 5_000);
         let (mut c, same) = begun();
         prop_assert_eq!(&same, &tasks);
         // Copies of any of them, before and after the newest.
         let mut copies: Vec<&Report> = order.iter().map(|i| &all[i.index(all.len())]).collect();
         copies.insert(at.index(copies.len() + 1), newest);
         for (i, r) in copies.into_iter().enumerate() {
-            c.on_report(r, T0 + 1_000 * (i as u64 + 1));
+            c.on_report(r, START_MS + 1_000 * (i as u64 + 1));
             c.check_invariants();
         }
         prop_assert_eq!(known(&c), known(&alone));
--- a/crates/core/tests/takeover_input.rs
+++ b/crates/core/tests/takeover_input.rs
@@ -1,7 +1,7 @@
 //! Takeovers on records that nobody would write: whatever stands at the state service, a new leader does not
 //! panic, its lists agree, and what it writes fits. Seeded; a failing seed is printed.
 
-use copperhaven_core::for_tests::{T0 as NOW, TERM, cell};
+use copperhaven_core::for_tests::{START_MS as NOW, TERM, cell};
 use copperhaven_core::records::*;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
@@ -82,43 +82,43 @@
         let id = uid(rng);
         let own = if rng.random_bool(0.95) { id.clone() } else { uid(rng) };
         let on = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
-        let waits = Waits { on, berths: None, parts: pick(rng, &[0, 0, 0, 1, 2, 5]) };
+        let waits = DependencyWait { dependencies: on, machine_types: None, parts: pick(rng, &[0, 0, 0, 1, 2, 5]) };
         let record = JobRecord {
             job: body(rng, own),
-            at: number(rng),
+            accepted_at_ms: number(rng),
             cancelled: rng.random_bool(0.2),
-            waits: rng.random_bool(0.3).then_some(waits),
-            since: rng.random_bool(0.2).then(|| number(rng)),
+            dependency_wait: rng.random_bool(0.3).then_some(waits),
+            eligible_at_ms: rng.random_bool(0.2).then(|| number(rng)),
         };
         read.jobs.push((format!("j/{id}"), record, 1));
         if rng.random_bool(0.5) {
             let chunk = pick(rng, &["0", "0/1", "1", "4194303", "4294967295", "x", ""]);
-            read.done.push((format!("d/{id}/{chunk}"), DoneRecord { r: ranges(rng) }, 2));
+            read.done.push((format!("d/{id}/{chunk}"), DoneTasksRecord { task_ranges: ranges(rng) }, 2));
         }
         if rng.random_bool(0.3) {
             let on = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
             let part = rng.random_range(0..3);
-            read.links.push((format!("a/{id}/{part}"), LinksRecord { on }, 3));
+            read.dependency_lists.push((format!("a/{id}/{part}"), DependenciesRecord { dependencies: on }, 3));
         }
     }
     for n in 0..rng.random_range(0..6) {
         let on = (0..rng.random_range(0..5))
-            .map(|_| OnRecord { j: uid(rng), t: number(rng), r: ranges(rng) })
+            .map(|_| AssignmentRecord { job: uid(rng), attempt: number(rng), task_ranges: ranges(rng) })
             .collect();
         let record = MachineRecord {
             addr: name(rng, &["127.0.0.1:9"]),
-            berth: name(rng, &["small", "big"]),
-            yard: name(rng, &["north", "south"]),
+            machine_type: name(rng, &["small", "big"]),
+            zone: name(rng, &["north", "south"]),
             spot: rng.random_bool(0.3),
-            shift: number(rng),
-            on,
+            session: number(rng),
+            assignments: on,
         };
         read.machines.push((format!("m/n-{n}"), record, 4));
     }
     for n in 0..rng.random_range(0..3) {
         let (berth, yard) = (name(rng, &["small", "big"]), name(rng, &["north", "south"]));
         let record =
-            RentalRecord { berth, yard, spot: false, number: pick(rng, &[0, 3, u32::MAX]) };
+            RentalRecord { machine_type: berth, zone: yard, spot: false, count: pick(rng, &[0, 3, u32::MAX]) };
         read.rentals.push((format!("r/r-1-{n}"), record, 5));
     }
     for _ in 0..rng.random_range(0..4) {
@@ -127,7 +127,7 @@
         let path = if key == "m" { "m/n-3".to_string() } else { format!("{key}/{id}/0") };
         // A path is on record once.
         read.machines.retain(|(p, ..)| *p != path);
-        read.bad.push((path, 6));
+        read.unreadable.push((path, 6));
     }
     read.jobs.sort_by(|a, b| a.0.cmp(&b.0));
     read.jobs.dedup_by(|a, b| a.0 == b.0);
@@ -169,25 +169,25 @@
     for step in 1..12u64 {
         let now = NOW + step * rng.random_range(1..9_000);
         let r = report(rng, TERM, step);
-        if let copperhaven_core::workers::reports::Taken::Answer(mid) = c.on_report(&r, now) {
-            c.place(now);
-            let _ = c.orders(mid, (r.session, r.sequence), now, true);
+        if let copperhaven_core::workers::reports::ReportOutcome::Answer(mid) = c.on_report(&r, now) {
+            c.run_placement_pass(now);
+            let _ = c.issue_orders(mid, (r.session, r.sequence), now, true);
         }
-        c.expire(now);
-        c.follow(now);
-        c.spot_slow(now);
-        c.judge(now);
+        c.expire_leases(now);
+        c.propagate_dependencies(now);
+        c.quarantine_slow_machines(now);
+        c.reassess_failing_jobs(now);
         c.plan_returns(now);
         c.plan_rentals(now);
-        if let Some(batch) = c.batch(16) {
+        if let Some(batch) = c.next_batch(16) {
             assert!(batch.changes.len() <= 16);
             for change in &batch.changes {
-                assert!(change.bytes() <= c.write_queue.value_limit, "{change:?}");
+                assert!(change.encoded_len() <= c.write_queue.value_limit, "{change:?}");
             }
-            c.applied(&batch, 100 + step);
+            c.on_applied(&batch, 100 + step);
         }
         for n in 0..14 {
-            let _ = c.show(&format!("wk-{n}"));
+            let _ = c.job_status(&format!("wk-{n}"));
         }
         if rng.random_bool(0.2)
             && let Some(id) = c.jobs.id_of(&uid(rng))
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -2,15 +2,15 @@
 //! from `fixtures/production.txt`, made by that version's own code; what it would read and write
 //! again of this version's records is told by its structures, restated here.
 
-use copperhaven_core::admission::shape::admit_shape;
-use copperhaven_core::for_tests::{OBJECTIVES, TEAMS, body, sample_with};
+use copperhaven_core::admission::shape::resolve_spec;
+use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, body, sample_settings_with};
 use copperhaven_core::records::*;
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::Flavor;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
-use copperhaven_core::workers::reports::Taken;
+use copperhaven_core::workers::reports::ReportOutcome;
 use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::encode;
 use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
@@ -39,12 +39,12 @@
 }
 
 fn cell(value_limit: usize) -> LeaderState {
-    let settings = sample_with(&[(TEAMS, RED), (OBJECTIVES, ""), NEXT]);
+    let settings = sample_settings_with(&[(TEAMS_LINE, RED), (OBJECTIVES_LINE, ""), NEXT]);
     let mut names = Names::new(&settings);
     let types: FlavorsRecord = read("c/flavors");
     let flavors: Vec<Flavor> =
-        types.berths.iter().map(|w: &WireMachineType| Flavor::from_wire(w, &mut names)).collect();
-    let leader = Cond { path: "c/leader".into(), stamp: 50 };
+        types.machine_types.iter().map(|w: &WireMachineType| Flavor::from_wire(w, &mut names)).collect();
+    let leader = Condition { path: "c/leader".into(), revision: 50 };
     let mut c = LeaderState::new(Arc::new(settings), TERM, leader, T0, names, flavors);
     c.write_queue.value_limit = value_limit;
     c
@@ -73,10 +73,10 @@
 fn commit(c: &mut LeaderState) -> Vec<Change> {
     let mut out = vec![];
     for rev in 0..100 {
-        let Some(batch) = c.batch(5) else { return out };
+        let Some(batch) = c.next_batch(5) else { return out };
         assert!(batch.changes.len() <= 5 && batch.conditions.len() <= 20);
-        assert!(batch.changes.iter().all(|x| x.bytes() <= c.write_queue.value_limit));
-        c.applied(&batch, 2000 + rev);
+        assert!(batch.changes.iter().all(|x| x.encoded_len() <= c.write_queue.value_limit));
+        c.on_applied(&batch, 2000 + rev);
         out.extend(batch.changes);
     }
     panic!("the same records again and again");
@@ -95,7 +95,7 @@
     };
     edit(&mut body);
     let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
-    let spec = admit_shape(&body, &mut c.names, &flavors, &settings).expect("valid");
+    let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, body, 1, T0 as i64);
     let ver = c.mark_dirty(RecordKey::Job(id));
     c.jobs.get_mut(&id).expect("there").accept_ver = ver;
@@ -134,8 +134,8 @@
     );
     assert_eq!((array.done.len(), array.placement_counts.len(), array.waiting.len()), (60, 60, 0));
     assert!(ended.is_cancelled() && ended.waiting.is_empty());
-    assert_eq!(c.show("wk-000412").expect("known").status, "queued");
-    assert_eq!(c.show("wk-000500").expect("known").status, "aborted");
+    assert_eq!(c.job_status("wk-000412").expect("known").status, "queued");
+    assert_eq!(c.job_status("wk-000500").expect("known").status, "aborted");
     assert_eq!(c.fleet.rentals.len(), 1, "asked for again under its name");
 }
 
@@ -143,7 +143,7 @@
 fn a_record_that_is_too_long_now_shrinks_before_it_is_written_and_blocks_nobody() {
     // The limits fall while the machine's record lists 60 scattered tasks: it stays as it is, which
     // is true, nothing is added to it, and everything else is recorded meanwhile.
-    let long = Record::Machine(read("m/n-000231")).bytes();
+    let long = Record::Machine(read("m/n-000231")).encoded_len();
     let mut c = cell(long - 1);
     rebuild(&mut c, left_by_production(), T0, T0);
     let mid = c.machines.id_of("n-000231").expect("known");
@@ -163,16 +163,16 @@
         })
         .collect();
     c.on_report(&report("n-000231", 5, on.clone()), T0 + 1000);
-    c.place(T0 + 1000);
+    c.run_placement_pass(T0 + 1000);
     let written = commit(&mut c);
     assert!(written.iter().any(|x| x.path() == "j/wk-000600"), "users' answers go on");
     assert!(c.write_queue.is_held_back(&RecordKey::Machine(mid)), "and this one waits");
-    c.place(T0 + 2000);
+    c.run_placement_pass(T0 + 2000);
     let new = c.jobs.id_of("wk-000600").expect("known");
     assert!(!c.machines[&mid].assignments.contains_key(&(new, 0)), "nothing is added meanwhile");
     // A task for it goes to another machine.
     c.on_report(&report("n-000300", 1, vec![]), T0 + 2500);
-    c.place(T0 + 2500);
+    c.run_placement_pass(T0 + 2500);
     assert!(commit(&mut c).iter().any(|x| x.path() == "m/n-000300"));
     // When tasks have ended the record fits again, and is written.
     let left: Vec<TaskReport> = on.iter().take(5).cloned().collect();
@@ -188,11 +188,11 @@
     let id = submit(&mut c, "wk-000700", |b| b.tasks = 1500);
     commit(&mut c);
     for task in (0..1500).step_by(2) {
-        c.task_done(id, task);
+        c.mark_task_done(id, task);
     }
     let mut read = Records::default();
     for (n, change) in commit(&mut c).into_iter().enumerate() {
-        if let Change::Put { put, v: Record::Done(r), .. } = change {
+        if let Change::Put { path: put, value: Record::Done(r), .. } = change {
             // As production reads the path.
             let mut parts = put.split('/').skip(1);
             assert_eq!(parts.next(), Some("wk-000700"));
@@ -204,10 +204,10 @@
     assert!((0..1500).step_by(2).all(|task| c.is_done_saved(id, task)));
     let job = JobRecord {
         job: (*c.jobs[&id].body).clone(),
-        at: 1,
+        accepted_at_ms: 1,
         cancelled: false,
-        waits: None,
-        since: None,
+        dependency_wait: None,
+        eligible_at_ms: None,
     };
     read.jobs.push(("j/wk-000700".into(), job, 1));
     let mut next = cell(2048);
@@ -229,25 +229,25 @@
     let id = submit(&mut c, "wk-000700", |b| b.tasks = 1500);
     commit(&mut c);
     for task in (0..1500).step_by(2) {
-        c.task_done(id, task);
+        c.mark_task_done(id, task);
     }
     for n in 0..12 {
         submit(&mut c, ["wk-1", "wk-2", "wk-3", "wk-4"][n % 4], |_| ());
     }
     let (mut refused, mut rev) = (0, 3000);
-    while let Some(batch) = c.batch(5) {
+    while let Some(batch) = c.next_batch(5) {
         rev += 1;
         assert!(rev < 3200, "the same transaction again and again");
-        if batch.changes.iter().any(|x| x.bytes() > 1700) {
+        if batch.changes.iter().any(|x| x.encoded_len() > 1700) {
             refused += 1;
-            c.malformed(&batch);
+            c.on_malformed(&batch);
         } else {
-            c.applied(&batch, rev);
+            c.on_applied(&batch, rev);
         }
     }
     assert!((1..6).contains(&refused), "{refused}");
     assert_eq!(c.write_queue.commit_stats.refused_too_large, refused);
-    assert!(c.show("wk-4").is_some() && c.is_done_saved(id, 1498));
+    assert!(c.job_status("wk-4").is_some() && c.is_done_saved(id, 1498));
 }
 
 // ---- this version's records as production reads and writes them again -----------------------
@@ -299,11 +299,11 @@
     submit(&mut c, "wk-1", |_| ());
     commit(&mut c);
     let id = submit(&mut c, "wk-2", |_| ());
-    c.park(id, vec!["wk-1".into()], T0);
+    c.block_on_dependencies(id, vec!["wk-1".into()], T0);
     let written: BTreeMap<String, Record> = commit(&mut c)
         .into_iter()
         .filter_map(|x| match x {
-            Change::Put { put, v, .. } => Some((put, v)),
+            Change::Put { path: put, value: v, .. } => Some((put, v)),
             Change::Delete { .. } => None,
         })
         .collect();
@@ -314,11 +314,11 @@
     assert!(!seen.cancelled);
     // Once nothing is missing it is a job like any other, for production, too.
     let one = c.jobs.id_of("wk-1").expect("known");
-    c.task_done(one, 0);
+    c.mark_task_done(one, 0);
     commit(&mut c);
-    c.follow(T0 + 5000);
+    c.propagate_dependencies(T0 + 5000);
     let ready = commit(&mut c).into_iter().find_map(|x| match x {
-        Change::Put { put, v, .. } if put == "j/wk-2" => Some(v),
+        Change::Put { path: put, value: v, .. } if put == "j/wk-2" => Some(v),
         _ => None,
     });
     let seen = old(&ready.expect("written before it starts"));
@@ -329,7 +329,7 @@
     let mut next = cell(2048);
     let jobs = vec![("j/wk-2".to_string(), record, 7)];
     rebuild(&mut next, Records { jobs, ..Records::default() }, T0, T0);
-    assert_eq!(next.show("wk-2").expect("known").status, "aborted");
+    assert_eq!(next.job_status("wk-2").expect("known").status, "aborted");
 }
 
 #[test]
@@ -348,13 +348,13 @@
         kept: false,
     };
     let over: Vec<TaskReport> = (1..41).step_by(2).map(ends).collect();
-    let Taken::Answer(_) = c.on_report(&report("n-000231", 5, over), T0 + 900) else {
+    let ReportOutcome::Answer(_) = c.on_report(&report("n-000231", 5, over), T0 + 900) else {
         panic!("not taken")
     };
-    let orders = |c: &mut LeaderState, at| c.orders(mid, (1, at), T0 + 950, true).expect("orders").orders;
+    let orders = |c: &mut LeaderState, at| c.issue_orders(mid, (1, at), T0 + 950, true).expect("orders").orders;
     assert!(orders(&mut c, 5).iter().all(|o| !matches!(o, Order::Forget { .. })));
     let done = commit(&mut c).into_iter().find_map(|x| match x {
-        Change::Put { put, v, .. } if put == "d/wk-000412/0" => Some(encode(&v)),
+        Change::Put { path: put, value: v, .. } if put == "d/wk-000412/0" => Some(encode(&v)),
         _ => None,
     });
     let forgets = orders(&mut c, 5);
