--- a/crates/controller/src/client.rs
+++ b/crates/controller/src/client.rs
@@ -14,17 +14,17 @@
 use std::time::Duration;
 
 /// Exit codes: what was asked for was done, bad arguments, unknown job, no (usable) answer.
-pub const DONE: u8 = 0;
-pub const USAGE: u8 = 2;
+pub const EXIT_OK: u8 = 0;
+pub const EXIT_USAGE: u8 = 2;
 pub const UNKNOWN: u8 = 3;
 pub const NO_ANSWER: u8 = 4;
 
 /// How far each change of the stored state is, who has recorded that it can, and what comes next; read at the
 /// state service that the settings name.
-pub async fn stages(settings: &Settings) -> (String, u8) {
+pub async fn stages_command(settings: &Settings) -> (String, u8) {
     let state = &settings.endpoints.state;
     match read_stages(&Store::new(Net::Tcp, state.clone())).await {
-        Ok((stages, cans)) => (told(settings, &stages, &cans), DONE),
+        Ok((stages, cans)) => (told(settings, &stages, &cans), EXIT_OK),
         Err(e) => (format!("no answer from {state} (setting `endpoints.state`): {e}"), NO_ANSWER),
     }
 }
@@ -73,12 +73,12 @@
 }
 
 /// Asks about a job, or cancels it. Returns the text for the user and the exit code.
-pub async fn job(uid: &str, server: &str, cancel: bool) -> (String, u8) {
+pub async fn job_command(uid: &str, server: &str, cancel: bool) -> (String, u8) {
     if !is_valid_uid(uid) {
-        return (format!("`{uid}` is no job id: wk- and digits"), USAGE);
+        return (format!("`{uid}` is no job id: wk- and digits"), EXIT_USAGE);
     }
     if server.parse::<SocketAddr>().is_err() {
-        return (format!("`{server}` is no address: give IP:PORT"), USAGE);
+        return (format!("`{server}` is no address: give IP:PORT"), EXIT_USAGE);
     }
     let (method, path) = if cancel {
         (Method::POST, format!("/api/jobs/{uid}/cancel"))
@@ -92,7 +92,7 @@
     };
     match answer.status {
         200 => match answer.decode::<JobStatus>() {
-            Some(s) => (describe(&s), DONE),
+            Some(s) => (describe(&s), EXIT_OK),
             None => (format!("{server} answered what is no job"), NO_ANSWER),
         },
         404 => (format!("{uid}: unknown job"), UNKNOWN),
@@ -129,11 +129,11 @@
     fn bad_arguments_are_told_apart() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         for (uid, server, code, word) in [
-            ("job-1", "127.0.0.1:1", USAGE, "no job id"),
-            ("wk-1", "localhost", USAGE, "no address"),
+            ("job-1", "127.0.0.1:1", EXIT_USAGE, "no job id"),
+            ("wk-1", "localhost", EXIT_USAGE, "no address"),
             ("wk-1", "127.0.0.1:1", NO_ANSWER, "no answer"),
         ] {
-            let (text, got) = runtime.block_on(job(uid, server, false));
+            let (text, got) = runtime.block_on(job_command(uid, server, false));
             assert!(got == code && text.contains(word), "{text}");
         }
     }
--- a/crates/controller/src/cloud.rs
+++ b/crates/controller/src/cloud.rs
@@ -17,10 +17,10 @@
 
 impl Cloud {
     pub fn new(net: Net, addr: String) -> Cloud {
-        Cloud { http: Client::within(net, 2), addr }
+        Cloud { http: Client::with_net(net, 2), addr }
     }
 
-    pub async fn flavors(&self) -> Option<Vec<WireMachineType>> {
+    pub async fn list_machine_types(&self) -> Option<Vec<WireMachineType>> {
         #[derive(Deserialize)]
         struct Body {
             berths: Vec<WireMachineType>,
@@ -50,7 +50,7 @@
         let ask =
             Ask { hire: name, berth: &r.machine_type, yard: &r.zone, loaners: r.spot, number: r.count };
         let a = self.http.post(&self.addr, "/hosts", &ask, LIMIT).await?;
-        let lost = |why: &str| Err(CallError::Lost(why.into()));
+        let lost = |why: &str| Err(CallError::OutcomeUnknown(why.into()));
         match a.status {
             200 => a.decode::<Got>().map_or_else(|| lost("malformed"), |g| Ok(Some(g.hearths))),
             503 if String::from_utf8_lossy(&a.body).contains("no capacity") => Ok(None),
@@ -62,7 +62,7 @@
         }
     }
 
-    pub async fn give_back(&self, names: &[String]) -> bool {
+    pub async fn return_hosts(&self, names: &[String]) -> bool {
         #[derive(Serialize)]
         struct Ask<'a> {
             hearths: &'a [String],
@@ -71,7 +71,7 @@
         a.is_ok_and(|a| a.status == 200)
     }
 
-    pub async fn list(&self) -> Option<Vec<Host>> {
+    pub async fn list_hosts(&self) -> Option<Vec<Host>> {
         #[derive(Deserialize)]
         struct Page {
             hearths: Vec<Host>,
--- a/crates/controller/src/cluster/frames.rs
+++ b/crates/controller/src/cluster/frames.rs
@@ -22,12 +22,12 @@
     /// How often the frame may still be passed on.
     pub(crate) hops: u8,
     /// In pongs: 1 if the sender leads.
-    pub(crate) leads: u8,
+    pub(crate) is_leader: u8,
     /// Of an answer; in pongs: the sender's release.
     pub(crate) status: U16,
     pub(crate) retry_after: U16,
     /// In pongs: bit per member (in order of names) that the sender reaches.
-    pub(crate) reaches: U16,
+    pub(crate) reachable_mask: U16,
     pub(crate) len: U32,
     pub(crate) id: U64,
     pub(crate) term: U64,
@@ -47,7 +47,7 @@
 }
 
 impl Op {
-    pub(crate) fn from(kind: u8) -> Option<Op> {
+    pub(crate) fn from_kind(kind: u8) -> Option<Op> {
         [Op::Submit, Op::Show, Op::Cancel, Op::Report].into_iter().find(|o| *o as u8 == kind)
     }
 }
@@ -59,10 +59,10 @@
             version: VERSION,
             kind,
             hops: 0,
-            leads: 0,
+            is_leader: 0,
             status: U16::new(0),
             retry_after: U16::new(0),
-            reaches: U16::new(0),
+            reachable_mask: U16::new(0),
             len: U32::new(len as u32),
             id: U64::new(id),
             term: U64::new(0),
@@ -71,15 +71,15 @@
 
     pub(crate) fn pong((term, leads): (u64, bool), reaches: u16, len: usize) -> Header {
         Header {
-            leads: u8::from(leads),
+            is_leader: u8::from(leads),
             status: U16::new(RELEASE),
-            reaches: U16::new(reaches),
+            reachable_mask: U16::new(reaches),
             term: U64::new(term),
             ..Header::new(ANSWER, 0, len)
         }
     }
 
-    pub(crate) fn frame(&self, body: &[u8]) -> Vec<u8> {
+    pub(crate) fn encode_frame(&self, body: &[u8]) -> Vec<u8> {
         let mut out = Vec::with_capacity(size_of::<Header>() + body.len());
         out.extend_from_slice(self.as_bytes());
         out.extend_from_slice(body);
@@ -111,7 +111,7 @@
 
     #[test]
     fn frames_of_another_layout_are_refused() {
-        let good = Header::new(Op::Show as u8, 7, 3).frame(b"abc");
+        let good = Header::new(Op::Show as u8, 7, 3).encode_frame(b"abc");
         let size = size_of::<Header>();
         assert_eq!(Header::parse(&good[..size]).map(|h| h.id.get()), Some(7));
         let cases: [(usize, u8); 3] = [(0, 0), (2, 9), (15, 0xff)];
@@ -133,14 +133,14 @@
             let byte = |i| u8::from_str_radix(&line[i..i + 2], 16).expect("hex");
             (0..line.len()).step_by(2).map(byte).collect()
         };
-        assert_eq!(Header::new(PING, 0, 0).frame(&[]), fixture("frame-ping "));
+        assert_eq!(Header::new(PING, 0, 0).encode_frame(&[]), fixture("frame-ping "));
         let pong = Header::parse(&fixture("frame-pong ")).expect("understood");
         assert_eq!((pong.kind, pong.term.get(), pong.status.get()), (ANSWER, 7, 0));
         let mut ours = Header::pong((7, false), 0, 0);
         assert_eq!(ours.status.get(), RELEASE);
         ours.status = U16::new(0);
-        assert_eq!(ours.frame(&[]), fixture("frame-pong "), "but for the release the same");
-        let show = Header::new(Op::Show as u8, 1, 9).frame(b"wk-000412");
+        assert_eq!(ours.encode_frame(&[]), fixture("frame-pong "), "but for the release the same");
+        let show = Header::new(Op::Show as u8, 1, 9).encode_frame(b"wk-000412");
         assert_eq!(show, fixture("frame-show "));
     }
 }
--- a/crates/controller/src/cluster/mod.rs
+++ b/crates/controller/src/cluster/mod.rs
@@ -14,37 +14,37 @@
 
 /// A link without an answer for this long is not used.
 const SILENT_MS: u64 = 1600;
-pub(crate) const IN_FLIGHT: usize = 512;
+pub(crate) const MAX_IN_FLIGHT: usize = 512;
 
 /// What is known of a peer from its pongs.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct PeerView {
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     pub term: u64,
-    pub leads: bool,
+    pub is_leader: bool,
     /// The release that it runs; 0 if it was never heard.
     pub release: u16,
-    pub(crate) reaches: u16,
+    pub(crate) reachable_mask: u16,
 }
 
-pub struct Link {
+pub struct PeerLink {
     pub member: String,
-    pub ix: usize,
+    pub member_index: usize,
     pub(crate) addr: String,
     pub(crate) view: Mutex<PeerView>,
     pub(crate) queue: Mutex<Option<mpsc::Sender<Vec<u8>>>>,
-    pub(crate) waiting: Mutex<HashMap<u64, oneshot::Sender<Reply>>>,
+    pub(crate) pending_replies: Mutex<HashMap<u64, oneshot::Sender<Reply>>>,
     pub(crate) next: AtomicU64,
 }
 
-impl Link {
+impl PeerLink {
     pub fn view(&self) -> PeerView {
         *self.view.lock().expect("lock")
     }
 
     fn healthy(&self, now: u64) -> bool {
         let view = self.view();
-        view.heard_ms > 0 && now < view.heard_ms + SILENT_MS
+        view.last_heard_ms > 0 && now < view.last_heard_ms + SILENT_MS
     }
 
     async fn ask(&self, op: Op, hops: u8, body: &[u8], limit: Duration) -> Option<Reply> {
@@ -52,26 +52,26 @@
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         {
-            let mut waiting = self.waiting.lock().expect("lock");
-            if waiting.len() >= IN_FLIGHT {
+            let mut waiting = self.pending_replies.lock().expect("lock");
+            if waiting.len() >= MAX_IN_FLIGHT {
                 return None;
             }
             waiting.insert(id, tx);
         }
         let mut header = Header::new(op as u8, id, body.len());
         header.hops = hops;
-        let sent = queue.try_send(header.frame(body)).is_ok();
+        let sent = queue.try_send(header.encode_frame(body)).is_ok();
         let answer = if sent { timeout(limit, rx).await.ok().and_then(Result::ok) } else { None };
-        self.waiting.lock().expect("lock").remove(&id);
+        self.pending_replies.lock().expect("lock").remove(&id);
         answer
     }
 }
 
 pub struct Cluster {
-    pub links: Vec<Arc<Link>>,
+    pub links: Vec<Arc<PeerLink>>,
     /// All members in order of their names; the same order at each of them.
     pub members: Vec<String>,
-    pub me: usize,
+    pub own_index: usize,
 }
 
 impl Cluster {
@@ -86,35 +86,35 @@
             .iter()
             .filter(|m| m.name != settings.member)
             .map(|m| {
-                Arc::new(Link {
+                Arc::new(PeerLink {
                     member: m.name.clone(),
-                    ix: find(&m.name),
+                    member_index: find(&m.name),
                     addr: m.endpoint.clone(),
                     view: Mutex::default(),
                     queue: Mutex::default(),
-                    waiting: Mutex::default(),
+                    pending_replies: Mutex::default(),
                     next: AtomicU64::new(1),
                 })
             })
             .collect();
         let me = find(&settings.member);
-        Cluster { links, members, me }
+        Cluster { links, members, own_index: me }
     }
 
-    pub(crate) fn reaches(&self, now: u64) -> u16 {
-        self.links.iter().filter(|l| l.healthy(now)).fold(0, |bits, l| bits | (1 << (l.ix & 15)))
+    pub(crate) fn reachable_mask(&self, now: u64) -> u16 {
+        self.links.iter().filter(|l| l.healthy(now)).fold(0, |bits, l| bits | (1 << (l.member_index & 15)))
     }
 
     /// The link on which `leader` is best reached: its own, or that of a peer which reaches it.
-    pub(crate) fn way(&self, leader: usize, now: u64, direct: bool) -> Option<(&Arc<Link>, u8)> {
-        if let Some(l) = self.links.iter().find(|l| l.ix == leader && l.healthy(now)) {
+    pub(crate) fn way(&self, leader: usize, now: u64, direct: bool) -> Option<(&Arc<PeerLink>, u8)> {
+        if let Some(l) = self.links.iter().find(|l| l.member_index == leader && l.healthy(now)) {
             return Some((l, 0));
         }
         if direct {
             return None;
         }
         let bit = 1u16 << (leader & 15);
-        let over = self.links.iter().find(|l| l.healthy(now) && l.view().reaches & bit != 0);
+        let over = self.links.iter().find(|l| l.healthy(now) && l.view().reachable_mask & bit != 0);
         over.map(|l| (l, 1))
     }
 
@@ -124,43 +124,43 @@
     }
 
     /// Do all members run this release, as far as they were heard?
-    pub fn upgraded(&self) -> bool {
+    pub fn is_upgraded(&self) -> bool {
         self.releases().all(|(_, r)| r >= RELEASE)
     }
 
-    pub(crate) fn tell_release(&self, member: &str, release: u16) {
+    pub(crate) fn log_release(&self, member: &str, release: u16) {
         tracing::info!("{member} runs release {release}, this one {RELEASE}");
-        if self.upgraded() {
+        if self.is_upgraded() {
             tracing::info!("the upgrade is finished: all controllers run release {RELEASE}");
         }
     }
 
     /// Does the leader run a release that knows pipelines, as far as it was heard?
-    pub fn knows_pipelines(&self, leader: usize) -> bool {
-        let link = self.links.iter().find(|l| l.ix == leader);
+    pub fn has_pipeline_support(&self, leader: usize) -> bool {
+        let link = self.links.iter().find(|l| l.member_index == leader);
         link.is_none_or(|l| l.view().release != 1)
     }
 
     /// A peer within reach that doesn't lead, one after the other.
-    pub fn some_peer(&self, now: u64) -> Option<&str> {
-        let well: Vec<&Arc<Link>> =
-            self.links.iter().filter(|l| l.healthy(now) && !l.view().leads).collect();
+    pub fn pick_follower(&self, now: u64) -> Option<&str> {
+        let well: Vec<&Arc<PeerLink>> =
+            self.links.iter().filter(|l| l.healthy(now) && !l.view().is_leader).collect();
         let turn = (now / 40) as usize % well.len().max(1);
         well.get(turn).map(|l| l.member.as_str())
     }
 
     /// Is any peer within reach? True where there are none.
-    pub fn any_peer(&self, now: u64) -> bool {
+    pub fn has_reachable_peer(&self, now: u64) -> bool {
         self.links.is_empty() || self.links.iter().any(|l| l.healthy(now))
     }
 
     /// Is this member within reach over its own link?
-    pub fn links_to(&self, member: &str, now: u64) -> bool {
+    pub fn has_direct_link(&self, member: &str, now: u64) -> bool {
         self.links.iter().any(|l| l.member == member && l.healthy(now))
     }
 
     pub fn can_reach(&self, leader: usize, now: u64) -> bool {
-        leader == self.me || self.way(leader, now, false).is_some()
+        leader == self.own_index || self.way(leader, now, false).is_some()
     }
 
     pub async fn forward(
--- a/crates/controller/src/dealings.rs
+++ b/crates/controller/src/dealings.rs
@@ -1,7 +1,7 @@
 //! The leader's dealings with the cloud: rentals, returns, lists.
 
 use crate::node::Node;
-use crate::store::Outcome;
+use crate::store::CommitOutcome;
 use copperhaven_core::pace::RateLimiter;
 use copperhaven_core::records::{
     Change, Condition, LEADER_KEY, PROVIDED_KEY, ProvidedRecord, Record, RentalRecord,
@@ -13,9 +13,9 @@
 /// Counts the machines that are there before the service has ever rented any, and records their
 /// number. None: not known yet.
 async fn survey(node: &Node, term: u64) -> Option<u32> {
-    let hosts = node.cloud.list().await?;
+    let hosts = node.cloud.list_hosts().await?;
     let now = node.now();
-    let (machines, stamp) = node.with_cell(term, |c, _| {
+    let (machines, stamp) = node.with_leader_state(term, |c, _| {
         c.on_machine_list(&hosts, now);
         (c.count_provided(&hosts), c.write_queue.leader_condition.revision)
     })?;
@@ -23,7 +23,7 @@
     let v = Record::Provided(ProvidedRecord { machines });
     let apply = [Change::Put { path: PROVIDED_KEY.into(), value: v, lease_id: None }];
     match node.store.commit(&when, &apply).await {
-        Outcome::Applied(_) => Some(machines),
+        CommitOutcome::Applied(_) => Some(machines),
         // An earlier try without an answer may have been applied.
         _ => Some(node.store.get::<ProvidedRecord>(PROVIDED_KEY).await.ok()??.0.machines),
     }
@@ -34,28 +34,28 @@
     let now = node.now();
     match answer {
         Ok(hearths) => {
-            node.with_cell(term, |c, _| c.on_rented(&name, hearths, now));
+            node.with_leader_state(term, |c, _| c.on_rented(&name, hearths, now));
         }
         Err(e) => {
             tracing::debug!("rental {name}: {e}");
-            node.with_cell(term, |c, _| c.on_rental_unanswered(&name, now));
+            node.with_leader_state(term, |c, _| c.on_rental_unanswered(&name, now));
         }
     }
-    node.kick();
+    node.notify_dirty();
 }
 
 async fn give_back(node: Arc<Node>, term: u64, names: Vec<String>) {
-    if node.cloud.give_back(&names).await {
-        node.with_cell(term, |c, _| c.on_returned(&names));
-        node.kick();
+    if node.cloud.return_hosts(&names).await {
+        node.with_leader_state(term, |c, _| c.on_returned(&names));
+        node.notify_dirty();
     }
 }
 
 async fn take_list(node: Arc<Node>, term: u64) {
-    if let Some(hosts) = node.cloud.list().await {
+    if let Some(hosts) = node.cloud.list_hosts().await {
         let now = node.now();
-        node.with_cell(term, |c, _| c.on_machine_list(&hosts, now));
-        node.kick();
+        node.with_leader_state(term, |c, _| c.on_machine_list(&hosts, now));
+        node.notify_dirty();
     }
 }
 
@@ -81,18 +81,18 @@
         while rentals.try_join_next().is_some() {}
         while returning.try_join_next().is_some() {}
         while listing.try_join_next().is_some() {}
-        if node.with_cell(term, |c, lead| lead && c.fleet.provided_machines.is_none()) == Some(true) {
+        if node.with_leader_state(term, |c, lead| lead && c.fleet.provided_machines.is_none()) == Some(true) {
             if pace.try_take()
                 && let Some(n) = survey(&node, term).await
             {
                 tracing::info!("{n} machines are provided");
-                node.with_cell(term, |c, _| c.fleet.provided_machines = Some(n));
+                node.with_leader_state(term, |c, _| c.fleet.provided_machines = Some(n));
             }
             continue;
         }
         let (idle, left) = (returning.is_empty(), pace.available());
-        let reached = node.reached_zones(now);
-        let plan = node.with_cell(term, |c, lead| {
+        let reached = node.reachable_zones(now);
+        let plan = node.with_leader_state(term, |c, lead| {
             if !lead || left == 0 {
                 return (vec![], vec![]);
             }
@@ -116,7 +116,7 @@
             // With much to look at, less often.
             plan_gap = ((node.now() - now) * 8).clamp(PLAN_MS, 8 * PLAN_MS);
         }
-        node.kick();
+        node.notify_dirty();
         if !back.is_empty() && pace.try_take() {
             returning.spawn(give_back(node.clone(), term, back));
         }
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -1,7 +1,7 @@
 //! The door for users, workers and health checks.
 
 use crate::cluster::frames::Op;
-use crate::listen::{ListenError, PATIENCE, listen};
+use crate::listen::{ListenError, BIND_TIMEOUT, listen};
 use crate::node::Node;
 use crate::reply::Reply;
 use copperhaven_wire::limits::MAX_BODY_BYTES;
@@ -25,7 +25,7 @@
     if reply.retry_after > 0 {
         r = r.header("retry-after", reply.retry_after);
     }
-    if reply.close {
+    if reply.close_connection {
         r = r.header("connection", "close");
     }
     r.body(reply.body)
@@ -39,32 +39,32 @@
 #[handler]
 async fn submit(node: Data<&Arc<Node>>, body: Body) -> Response {
     respond(match read(body).await {
-        Some(body) => node.ask(Op::Submit, &body).await,
+        Some(body) => node.handle_request(Op::Submit, &body).await,
         None => Reply::error(400, "the body is longer than 64 KiB or broke off"),
     })
 }
 
 #[handler]
 async fn show(node: Data<&Arc<Node>>, Path(id): Path<String>) -> Response {
-    respond(node.ask(Op::Show, id.as_bytes()).await)
+    respond(node.handle_request(Op::Show, id.as_bytes()).await)
 }
 
 #[handler]
 async fn cancel(node: Data<&Arc<Node>>, Path(id): Path<String>) -> Response {
-    respond(node.ask(Op::Cancel, id.as_bytes()).await)
+    respond(node.handle_request(Op::Cancel, id.as_bytes()).await)
 }
 
 #[handler]
 async fn report(node: Data<&Arc<Node>>, body: Body) -> Response {
     respond(match read(body).await {
-        Some(body) => node.ask(Op::Report, &body).await,
+        Some(body) => node.handle_request(Op::Report, &body).await,
         None => Reply::error(400, "the body is longer than 64 KiB or broke off"),
     })
 }
 
 #[handler]
 fn up(node: Data<&Arc<Node>>) -> Response {
-    if node.up() {
+    if node.is_ready() {
         Response::builder().status(StatusCode::OK).finish()
     } else {
         respond(Reply::later("no leader within reach", 1))
@@ -161,7 +161,7 @@
 }
 
 pub async fn run(node: Arc<Node>) -> Result<(), DoorError> {
-    let inner = listen(&node.settings.api_listen, "front", PATIENCE).await?;
+    let inner = listen(&node.settings.api_listen, "front", BIND_TIMEOUT).await?;
     let inner = TcpAcceptor::from_tokio(inner)?;
     // Some sockets are left for the state service, the cloud, the workers and the peers.
     let most = node.settings.deployment.limits.max_connections;
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -20,18 +20,18 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     #[error("not sent: {0}")]
-    Refused(String),
+    NotSent(String),
     #[error("no answer: {0}")]
-    Lost(String),
+    OutcomeUnknown(String),
 }
 
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub body: Bytes,
 }
 
-impl Answer {
+impl HttpResponse {
     pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         match rmp_serde::from_slice(&self.body) {
             Ok(v) => Some(v),
@@ -56,11 +56,11 @@
 
 impl Client {
     pub fn new(per_host: usize) -> Self {
-        Client::within(Net::Tcp, per_host)
+        Client::with_net(Net::Tcp, per_host)
     }
 
     /// A client whose connections are made in this network.
-    pub fn within(net: Net, per_host: usize) -> Self {
+    pub fn with_net(net: Net, per_host: usize) -> Self {
         Client { idle: Mutex::default(), per_host, net }
     }
 
@@ -89,9 +89,9 @@
     }
 
     async fn connect(&self, addr: &str) -> Result<Conn, CallError> {
-        let stream = self.net.connect(addr).await.map_err(|e| CallError::Refused(e.to_string()))?;
+        let stream = self.net.connect(addr).await.map_err(|e| CallError::NotSent(e.to_string()))?;
         let (conn, driver) =
-            handshake(TokioIo::new(stream)).await.map_err(|e| CallError::Refused(e.to_string()))?;
+            handshake(TokioIo::new(stream)).await.map_err(|e| CallError::NotSent(e.to_string()))?;
         tokio::spawn(async move {
             let _ = driver.await;
         });
@@ -106,13 +106,13 @@
         path: &str,
         body: Option<Vec<u8>>,
         limit: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let end = Instant::now() + limit;
         let mut conn = match self.pooled(addr) {
             Some(conn) => conn,
             None => match timeout(limit, self.connect(addr)).await {
                 Ok(conn) => conn?,
-                Err(_) => return Err(CallError::Refused("connecting timed out".into())),
+                Err(_) => return Err(CallError::NotSent("connecting timed out".into())),
             },
         };
         let request = Request::builder()
@@ -121,9 +121,9 @@
             .header("host", addr)
             .header("content-type", "application/msgpack")
             .body(Full::new(Bytes::from(body.unwrap_or_default())))
-            .map_err(|e| CallError::Refused(e.to_string()))?;
+            .map_err(|e| CallError::NotSent(e.to_string()))?;
         let exchange = async {
-            let lost = |e: String| CallError::Lost(e);
+            let lost = |e: String| CallError::OutcomeUnknown(e);
             let response = conn.send_request(request).await.map_err(|e| lost(e.to_string()))?;
             let status = response.status().as_u16();
             let close = response
@@ -135,7 +135,7 @@
                 .await
                 .map_err(|e| lost(e.to_string()))?
                 .to_bytes();
-            Ok((Answer { status, body }, close))
+            Ok((HttpResponse { status, body }, close))
         };
         match tokio::time::timeout_at(end, exchange).await {
             Ok(Ok((answer, close))) => {
@@ -146,7 +146,7 @@
                 Ok(answer)
             }
             Ok(Err(e)) => Err(e),
-            Err(_) => Err(CallError::Lost("timed out".into())),
+            Err(_) => Err(CallError::OutcomeUnknown("timed out".into())),
         }
     }
 
@@ -156,11 +156,11 @@
         path: &str,
         value: &T,
         limit: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         self.call(Method::POST, addr, path, Some(encode(value)), limit).await
     }
 
-    pub async fn get(&self, addr: &str, path: &str, limit: Duration) -> Result<Answer, CallError> {
+    pub async fn get(&self, addr: &str, path: &str, limit: Duration) -> Result<HttpResponse, CallError> {
         self.call(Method::GET, addr, path, None, limit).await
     }
 }
--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -46,8 +46,8 @@
         }
         Err(e) => return Err(e),
     };
-    let bad = [jobs.bad, done.bad, machines.bad, packs.bad, rentals.bad, links.bad].concat();
-    let Some((names, flavors)) = node.known_flavors() else { return Err(StoreError::Malformed) };
+    let bad = [jobs.unreadable, done.unreadable, machines.unreadable, packs.unreadable, rentals.unreadable, links.unreadable].concat();
+    let Some((names, flavors)) = node.names_and_machine_types() else { return Err(StoreError::Malformed) };
     let leader = Condition { path: LEADER_KEY.into(), revision: stamp };
     let now = node.now();
     let mut cell = LeaderState::new(node.settings.clone(), term, leader, now, names, flavors);
@@ -63,7 +63,7 @@
         service,
         unreadable: bad,
     };
-    rebuild(&mut cell, read, now, Node::wall_ms());
+    rebuild(&mut cell, read, now, Node::unix_time_ms());
     cell.fleet.provided_machines = provided;
     let (j, m) = (cell.jobs.len(), cell.machines.len());
     let took = node.now() - begun;
@@ -74,9 +74,9 @@
 
 /// Reads how jobs ended that others still wait for, a few at a time: after a takeover no final
 /// record is in memory.
-pub(super) async fn read_ends(node: &Node, term: u64) -> &'static str {
+pub(super) async fn read_awaited_outcomes(node: &Node, term: u64) -> &'static str {
     loop {
-        let Some(some) = node.with_cell(term, |c, _| c.dependencies.next_unread_outcomes(4)) else {
+        let Some(some) = node.with_leader_state(term, |c, _| c.dependencies.next_unread_outcomes(4)) else {
             return "superseded";
         };
         let pause = if some.is_empty() { 200 } else { 20 };
@@ -97,7 +97,7 @@
                 Err(_) => break,
             };
             let now = node.now();
-            node.with_cell(term, |c, _| {
+            node.with_leader_state(term, |c, _| {
                 c.dependencies.resolve_outcome(uid, seen.map(|(last, _)| last.done));
                 if unreadable {
                     c.mark_outcome_unknown(uid);
@@ -111,9 +111,9 @@
 
 /// Keeps the machine types for controllers that start while the cloud doesn't answer. Nothing
 /// depends on the outcome.
-pub(super) async fn record_flavors(node: &Node, stamp: u64) {
-    let Some(berths) = node.state.lock().expect("lock").flavors.clone() else { return };
-    let seen = match node.store.get::<FlavorsRecord>(MACHINE_TYPES_KEY).await {
+pub(super) async fn record_machine_types(node: &Node, stamp: u64) {
+    let Some(berths) = node.state.lock().expect("lock").machine_types.clone() else { return };
+    let seen = match node.store.get::<MachineTypesRecord>(MACHINE_TYPES_KEY).await {
         Ok(seen) => seen,
         Err(e) => return node.note_unreadable(&e),
     };
@@ -124,7 +124,7 @@
         Condition { path: LEADER_KEY.into(), revision: stamp },
         Condition { path: MACHINE_TYPES_KEY.into(), revision: seen.map_or(0, |(_, s)| s) },
     ];
-    let v = Record::Flavors(FlavorsRecord { machine_types: berths });
+    let v = Record::Flavors(MachineTypesRecord { machine_types: berths });
     let (bytes, most) = (v.encoded_len(), node.settings.deployment.state.max_value_bytes());
     if bytes > most {
         tracing::warn!("the machine types take {bytes} bytes, a value {most}: not recorded");
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -10,13 +10,13 @@
 
 use crate::dealings;
 use crate::leadership::{
-    commits::commits,
-    load::{load, read_ends, record_flavors},
-    returns::succeed,
-    ticks::ticks,
+    commits::commit_loop,
+    load::{load, read_awaited_outcomes, record_machine_types},
+    returns::replace_predecessor,
+    ticks::tick_loop,
 };
 use crate::node::Node;
-use crate::store::Outcome;
+use crate::store::CommitOutcome;
 use copperhaven_core::records::*;
 use copperhaven_reach::returns::KeyDecision;
 use std::sync::Arc;
@@ -31,47 +31,47 @@
 pub async fn run(node: Arc<Node>) {
     tokio::spawn(probes::run(node.clone()));
     let own = node.clone();
-    tokio::spawn(async move { stages::record_own(&own).await });
+    tokio::spawn(async move { stages::record_own_abilities(&own).await });
     // It has not seen the leader's key since its start.
     let mut first = true;
     loop {
-        if node.state.lock().expect("lock").flavors.is_none() {
+        if node.state.lock().expect("lock").machine_types.is_none() {
             // Workers' leases run while nobody leads: the types that an earlier leader recorded
             // are at hand at once, also when the cloud is in trouble. They are brought up to date
             // beside.
             let sent = node.now();
-            let recorded = node.store.get::<FlavorsRecord>(MACHINE_TYPES_KEY).await;
-            node.state_asked(sent, recorded.is_ok());
-            node.state_service(recorded.as_ref().err());
+            let recorded = node.store.get::<MachineTypesRecord>(MACHINE_TYPES_KEY).await;
+            node.record_state_service_probe(sent, recorded.is_ok());
+            node.update_state_service_health(recorded.as_ref().err());
             if let Ok(Some((r, _))) = recorded {
-                node.state.lock().expect("lock").flavors = Some(r.machine_types);
+                node.state.lock().expect("lock").machine_types = Some(r.machine_types);
                 let node = node.clone();
-                tokio::spawn(async move { refresh_flavors(&node).await });
-            } else if !refresh_flavors(&node).await {
+                tokio::spawn(async move { refresh_machine_types(&node).await });
+            } else if !refresh_machine_types(&node).await {
                 sleep(ms(500)).await;
             }
             continue;
         }
         let sent = node.now();
-        let leader = node.store.leased::<LeaderRecord>(LEADER_KEY).await;
-        node.state_asked(sent, leader.is_ok());
-        node.state_service(leader.as_ref().err());
+        let leader = node.store.get_with_lease::<LeaderRecord>(LEADER_KEY).await;
+        node.record_state_service_probe(sent, leader.is_ok());
+        node.update_state_service_health(leader.as_ref().err());
         match leader {
             Ok(Some((record, stamp, lease))) => {
-                let verdict = returns::verdict(&node, &record, first);
+                let verdict = returns::assess_leader_key(&node, &record, first);
                 // Until it listens itself it can't tell whose its own name is.
-                first &= record.member == node.settings.member && node.seat().is_none();
+                first &= record.member == node.settings.member && node.listen_addr().is_none();
                 if verdict != KeyDecision::HeldByOther {
-                    succeed(&node, verdict, (record.term, stamp, lease)).await;
+                    replace_predecessor(&node, verdict, (record.term, stamp, lease)).await;
                     continue;
                 }
                 let ix = node.cluster.members.iter().position(|m| *m == record.member);
-                node.heard_term(record.term, ix);
+                node.observe_term(record.term, ix);
                 sleep(ms(350 + rand::random::<u64>() % 100)).await;
             }
             // Found with two processes of one name: whom no peer can reach must not lead. It listens at
             // once, or ends.
-            Ok(None) if node.seat().is_none() => sleep(ms(50)).await,
+            Ok(None) if node.listen_addr().is_none() => sleep(ms(50)).await,
             Ok(None) => {
                 first = false;
                 if !my_turn(&node).await {
@@ -97,7 +97,7 @@
     let mut told = 0;
     loop {
         // What is known changes meanwhile.
-        let wait = node.standing_wait();
+        let wait = node.election_delay_ms();
         let left = (since + wait).saturating_sub(node.now());
         if left == 0 {
             return true;
@@ -114,10 +114,10 @@
 }
 
 /// Asks the cloud for the machine types and their prices, for this node's next term.
-async fn refresh_flavors(node: &Node) -> bool {
-    match node.cloud.flavors().await {
+async fn refresh_machine_types(node: &Node) -> bool {
+    match node.cloud.list_machine_types().await {
         Some(f) if !f.is_empty() => {
-            node.state.lock().expect("lock").flavors = Some(f);
+            node.state.lock().expect("lock").machine_types = Some(f);
             true
         }
         _ => false,
@@ -146,7 +146,7 @@
         }
     };
     if let Some(ability) = stages.unsupported_ability() {
-        node.note_unknown(ability);
+        node.note_unknown_ability(ability);
         return None;
     }
     let (old, term_stamp) = match read {
@@ -159,15 +159,15 @@
         }
     };
     let sent = node.now();
-    let lease = node.store.lease(ttl).await.ok()?;
+    let lease = node.store.grant_lease(ttl).await.ok()?;
     // A term seen anywhere is never given out again, whatever the store says.
-    let term = old.max(node.state.lock().expect("lock").top_term) + 1;
+    let term = old.max(node.state.lock().expect("lock").highest_term) + 1;
     let record = LeaderRecord {
         member: node.settings.member.clone(),
         term,
         nonce: rand::random(),
-        listen_addr: node.seat().map(Into::into),
-        elected_at_ms: Node::wall_ms(),
+        listen_addr: node.listen_addr().map(Into::into),
+        elected_at_ms: Node::unix_time_ms(),
         restarts: returns,
     };
     let mut when = vec![
@@ -186,8 +186,8 @@
         apply.push(put(STAGES_KEY, Record::Stages(stages), None));
     }
     match node.store.commit(&when, &apply).await {
-        Outcome::Applied(stamp) => return Some(Won { term, stamp, lease, sent }),
-        Outcome::Unknown => {
+        CommitOutcome::Applied(stamp) => return Some(Won { term, stamp, lease, sent }),
+        CommitOutcome::Unknown => {
             if let Ok(Some((seen, stamp))) = node.store.get::<LeaderRecord>(LEADER_KEY).await
                 && seen == record
             {
@@ -197,15 +197,15 @@
         _ => {}
     }
     // Without the lease a late put fails.
-    node.store.end_lease(lease).await;
+    node.store.revoke_lease(lease).await;
     None
 }
 
 async fn lead(node: &Arc<Node>, won: Won, why: &str) {
     let Won { term, stamp, lease, sent } = won;
     tracing::info!("leading: term {term} won, {why}");
-    node.heard_term(term, Some(node.cluster.me));
-    node.state.lock().expect("lock").renewed = sent;
+    node.observe_term(term, Some(node.cluster.own_index));
+    node.state.lock().expect("lock").lease_renewed_ms = sent;
     let why = tokio::select! {
         why = renew(node, term, lease) => why,
         why = govern(node, term, stamp) => why,
@@ -213,16 +213,16 @@
     {
         let mut state = node.state.lock().expect("lock");
         state.cell = None;
-        if state.leader.is_some_and(|(_, ix)| ix == node.cluster.me) {
+        if state.leader.is_some_and(|(_, ix)| ix == node.cluster.own_index) {
             state.leader = None;
         }
     }
-    node.bump();
-    if [ticks::DEAF, ticks::OUTDONE].contains(&why) {
-        node.gave_way();
+    node.notify_changed();
+    if [ticks::ISOLATED, ticks::HANDED_OVER].contains(&why) {
+        node.record_step_down();
     }
     tracing::info!("leading no more: term {term}, {why}");
-    node.store.end_lease(lease).await;
+    node.store.revoke_lease(lease).await;
 }
 
 /// Renews the lease on a connection of its own; ends when the lease is lost, when holding on is
@@ -231,18 +231,18 @@
     let ttl = node.settings.tuning.leader_lease_ms;
     loop {
         let sent = node.now();
-        let extended = node.store.extend(lease, ms(ttl / 3)).await;
-        node.state_service(extended.as_ref().err());
+        let extended = node.store.renew_lease(lease, ms(ttl / 3)).await;
+        node.update_state_service_health(extended.as_ref().err());
         let failing = extended.is_err();
-        node.state_asked(sent, !failing);
+        node.record_state_service_probe(sent, !failing);
         match extended {
-            Ok(true) => node.state.lock().expect("lock").renewed = sent,
+            Ok(true) => node.state.lock().expect("lock").lease_renewed_ms = sent,
             Ok(false) => return "its lease has run out",
             Err(_) => {}
         }
         let (renewed, top) = {
             let state = node.state.lock().expect("lock");
-            (state.renewed, state.top_term)
+            (state.lease_renewed_ms, state.highest_term)
         };
         if top > term {
             return "a newer term was seen";
@@ -264,12 +264,12 @@
             }
         }
     }
-    node.bump();
-    record_flavors(node, stamp).await;
+    node.notify_changed();
+    record_machine_types(node, stamp).await;
     tokio::select! {
-        why = commits(node, term) => why,
-        why = read_ends(node, term) => why,
-        why = ticks(node, term) => why,
+        why = commit_loop(node, term) => why,
+        why = read_awaited_outcomes(node, term) => why,
+        why = tick_loop(node, term) => why,
         why = stages::run(node, term, stamp) => why,
         why = sweep::run(node, term) => why,
         _ = dealings::run(node.clone(), term) => "superseded",
--- a/crates/controller/src/leadership/probes.rs
+++ b/crates/controller/src/leadership/probes.rs
@@ -19,16 +19,16 @@
 pub async fn run(node: Arc<Node>) {
     loop {
         sleep(ms(PAUSE_MS)).await;
-        let targets = match node.to_ask(SILENCE_MS) {
+        let targets = match node.probe_targets(SILENCE_MS) {
             Some(targets) => targets,
             None => {
                 // Only records can tell of any. With no machine there is nobody to ask.
-                let own = node.store.some::<MachineRecord>("m/", SOME).await;
-                let packs = node.store.some::<PackRecord>("p/", SOME / 4).await;
+                let own = node.store.first_values::<MachineRecord>("m/", SOME).await;
+                let packs = node.store.first_values::<PackRecord>("p/", SOME / 4).await;
                 if let (Ok(own), Ok(packs)) = (own, packs) {
                     let packed = packs.iter().flat_map(|p| p.machines.values());
                     let all = own.iter().chain(packed);
-                    node.know_workers(all.map(|m| (m.addr.as_str(), m.zone.as_str())));
+                    node.add_known_workers(all.map(|m| (m.addr.as_str(), m.zone.as_str())));
                 }
                 sleep(ms(PAUSE_MS)).await;
                 continue;
@@ -38,8 +38,8 @@
             let node = node.clone();
             tokio::spawn(async move {
                 let sent = node.now();
-                let answer = node.workers.get(&addr, "/inspect", ms(LIMIT_MS)).await;
-                node.worker_asked(zone, sent, answer.is_ok_and(|a| a.status == 200));
+                let answer = node.worker_client.get(&addr, "/inspect", ms(LIMIT_MS)).await;
+                node.record_worker_probe(zone, sent, answer.is_ok_and(|a| a.status == 200));
             })
         });
         for ask in asks.collect::<Vec<_>>() {
--- a/crates/controller/src/leadership/returns.rs
+++ b/crates/controller/src/leadership/returns.rs
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 
 /// What this process makes of the leader's key, which is under its own name or another's.
-pub(super) fn verdict(node: &Node, record: &LeaderRecord, first: bool) -> KeyDecision {
+pub(super) fn assess_leader_key(node: &Node, record: &LeaderRecord, first: bool) -> KeyDecision {
     let (seat, member) = (record.listen_addr.as_deref(), record.member.as_str());
     let held = LeaderKey { member, listen_addr: seat, elected_at_ms: record.elected_at_ms, restarts: record.restarts };
-    returns::decide(held, &node.settings.member, node.seat(), first, Node::wall_ms())
+    returns::decide(held, &node.settings.member, node.listen_addr(), first, Node::unix_time_ms())
 }
 
 /// The leader's key is that of this process's predecessor, which has ended, or a late one of its own: nobody
 /// leads under it. It takes its place at once, or gives the key up for it.
-pub(super) async fn succeed(
+pub(super) async fn replace_predecessor(
     node: &Arc<Node>,
     verdict: KeyDecision,
     (term, stamp, lease): (u64, u64, Option<u64>),
 ) {
-    node.heard_term(term, None);
+    node.observe_term(term, None);
     if let KeyDecision::TakeOver { restarts: returns } = verdict {
         if let Some(won) = elect(node, stamp, returns).await {
             lead(node, won, "its process had ended as leader and is back").await;
@@ -31,8 +31,8 @@
     tracing::info!(
         "gives up the key of term {term}, under its own name, for its process that ended"
     );
-    node.left_behind();
+    node.record_repeated_end();
     if let Some(lease) = lease {
-        node.store.end_lease(lease).await;
+        node.store.revoke_lease(lease).await;
     }
 }
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -4,7 +4,7 @@
 use crate::cluster::frames::RELEASE;
 use crate::leadership::ms;
 use crate::node::Node;
-use crate::store::{Outcome, StoreError};
+use crate::store::{CommitOutcome, StoreError};
 use copperhaven_core::records::*;
 use copperhaven_rollout::{AbilitiesRecord, HoldReason, Transition, PACKS, Stage, StagesRecord, next_transition};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 }
 
 /// Records what this process can, until that is done. Others count it only by this record.
-pub(super) async fn record_own(node: &Node) {
+pub(super) async fn record_own_abilities(node: &Node) {
     let own = AbilitiesRecord::for_release(RELEASE);
     let path = format!("{ABILITIES_PREFIX}{}", node.settings.member);
     loop {
@@ -37,7 +37,7 @@
         let when = [Condition { path: path.clone(), revision: seen.map_or(0, |(_, s)| s) }];
         let v = Record::Can(own.clone());
         let apply = [Change::Put { path: path.clone(), value: v, lease_id: None }];
-        if let Outcome::Applied(_) = node.store.commit(&when, &apply).await {
+        if let CommitOutcome::Applied(_) = node.store.commit(&when, &apply).await {
             return;
         }
         sleep(ms(500)).await;
@@ -51,13 +51,13 @@
     let mut told = None;
     loop {
         sleep(ms(1000)).await;
-        let Some(left) = node.with_cell(term, |c, _| !c.packs.is_empty()) else {
+        let Some(left) = node.with_leader_state(term, |c, _| !c.packs.is_empty()) else {
             return "superseded";
         };
         let Ok((stages, stamp)) = read(node).await else { continue };
         // A move whose answer was lost, or one that an earlier leader made.
         let written = stages.stage(PACKS) == Stage::Written;
-        let switched = node.with_cell(term, |c, _| {
+        let switched = node.with_leader_state(term, |c, _| {
             let change = c.packs.is_enabled() != written;
             match change {
                 true if written => c.pack_machines(),
@@ -104,7 +104,7 @@
         let put = |put: &str, v: Record| Change::Put { path: put.into(), value: v, lease_id: None };
         let apply = [put(TERM_KEY, Record::term(term, &next)), put(STAGES_KEY, Record::Stages(next))];
         // Whatever came of it is read back.
-        if let Outcome::Applied(_) = node.store.commit(&when, &apply).await {
+        if let CommitOutcome::Applied(_) = node.store.commit(&when, &apply).await {
             let who = if counted.is_empty() { "nobody".into() } else { counted.join(", ") };
             tracing::info!("`{PACKS}` is {} from here on, counted: {who}", stage.name());
         }
--- a/crates/controller/src/leadership/sweep.rs
+++ b/crates/controller/src/leadership/sweep.rs
@@ -18,12 +18,12 @@
     let mut since: Option<String> = None;
     loop {
         sleep(ms(EVERY_MS)).await;
-        if node.with_cell(term, |c, _| c.sweep()).is_none() {
+        if node.with_leader_state(term, |c, _| c.sweep()).is_none() {
             return "superseded";
         }
-        let Ok((uids, more)) = node.store.names("j/", since.as_deref()).await else { continue };
+        let Ok((uids, more)) = node.store.list_keys("j/", since.as_deref()).await else { continue };
         since = uids.last().cloned().filter(|_| more);
-        let suspects = node.with_cell(term, |c, _| {
+        let suspects = node.with_leader_state(term, |c, _| {
             c.untracked_jobs(uids.iter().map(|path| path.trim_start_matches("j/")))
         });
         for uid in suspects.unwrap_or_default() {
@@ -32,7 +32,7 @@
                     "{uid} is on record as open, and in no place: report this with the log"
                 );
                 let now = node.now();
-                if node.read_anew(now, ANEW_MS) {
+                if node.try_claim_reload(now, ANEW_MS) {
                     return LOST;
                 }
             }
@@ -43,6 +43,6 @@
 /// Is it still so, when looked at alone? It may have been over, or accepted, in between.
 async fn lost(node: &Node, term: u64, uid: &str) -> bool {
     let open = node.store.get::<JobRecord>(&format!("j/{uid}")).await;
-    let unknown = node.with_cell(term, |c, lead| lead && !c.untracked_jobs([uid].into_iter()).is_empty());
+    let unknown = node.with_leader_state(term, |c, lead| lead && !c.untracked_jobs([uid].into_iter()).is_empty());
     matches!(open, Ok(Some(_))) && unknown == Some(true)
 }
--- a/crates/controller/src/leadership/tests.rs
+++ b/crates/controller/src/leadership/tests.rs
@@ -70,7 +70,7 @@
             }
         });
         let node = Node::new(settings);
-        node.state.lock().expect("lock").flavors = Some(vec![]);
+        node.state.lock().expect("lock").machine_types = Some(vec![]);
         node
     }
 }
@@ -99,12 +99,12 @@
             let service = stand_in(&[(TERM_KEY, v.clone())]);
             let node = service.clone().node().await;
             assert_eq!(elect(&node, 0, 0).await.map(|won| won.term), won, "{v}");
-            let named = node.state.lock().expect("lock").unreadable.contains(TERM_KEY);
+            let named = node.state.lock().expect("lock").unreadable_keys.contains(TERM_KEY);
             assert_eq!(named, won.is_none(), "{v}");
             let wrote = service.asked.lock().expect("lock").iter().any(|a| a == "POST /commit");
             assert_eq!(wrote, won.is_some(), "{v}: nothing is written without it");
             // The service answers: it is not taken for out of reach.
-            assert!(node.state.lock().expect("lock").no_state.is_none());
+            assert!(node.state.lock().expect("lock").state_service_down_since_ms.is_none());
         });
     }
 }
@@ -171,7 +171,7 @@
             assert!(cell.unreadable.is_write_protected(path), "{path}");
         }
         assert_eq!(cell.fleet.provided_machines, Some(0), "nothing is kept up without work");
-        assert!(state.unreadable.contains(PROVIDED_KEY));
+        assert!(state.unreadable_keys.contains(PROVIDED_KEY));
     });
 }
 
@@ -192,7 +192,7 @@
             let node = service.node().await;
             let got = node.store.get::<FinalRecord>("f/wk-2").await;
             assert_eq!(matches!(got, Err(StoreError::Unreadable { .. })), key == "f/wk-2");
-            let reply = node.ask(crate::cluster::frames::Op::Show, b"wk-2").await;
+            let reply = node.handle_request(crate::cluster::frames::Op::Show, b"wk-2").await;
             assert_eq!(reply.status, status, "{key} {told}");
             if status == 200 {
                 let shown: copperhaven_wire::jobs::JobStatus =
@@ -200,7 +200,7 @@
                 assert_eq!(shown.status, told);
             }
             // One that is nowhere on record still is unknown.
-            let reply = node.ask(crate::cluster::frames::Op::Show, b"wk-3").await;
+            let reply = node.handle_request(crate::cluster::frames::Op::Show, b"wk-3").await;
             assert_eq!(reply.status, 404);
         }
     });
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -18,8 +18,8 @@
 const ASKED_MS: u64 = 2500;
 
 /// Why a leader gives way, or hands over.
-pub(super) const DEAF: &str = "neither workers nor peers are heard";
-pub(super) const OUTDONE: &str = "another controller reaches the workers, and this one none";
+pub(super) const ISOLATED: &str = "neither workers nor peers are heard";
+pub(super) const HANDED_OVER: &str = "another controller reaches the workers, and this one none";
 
 /// How long workers may need to find a new leader.
 const FIND_MS: u64 = 4000;
@@ -37,7 +37,7 @@
 const LINE_BEATS: u64 = 600;
 
 /// What time brings: leases that run out, pauses that end, orders to send.
-pub(super) async fn ticks(node: &Arc<Node>, term: u64) -> &'static str {
+pub(super) async fn tick_loop(node: &Arc<Node>, term: u64) -> &'static str {
     let mut beat = 0u64;
     // Workers have to find a new leader first: their reports to the last one time out after 4 s.
     let mut heard = node.now() + FIND_MS;
@@ -51,7 +51,7 @@
         let now = node.now();
         beat += 1;
         behind = falls_behind(behind, lag);
-        let direct = node.with_cell(term, |c, _| {
+        let direct = node.with_leader_state(term, |c, _| {
             c.timer_lag = lag;
             tell_recovery(c, now);
             c.migrate_machines_to_packs(MOVED);
@@ -78,9 +78,9 @@
             (std::mem::take(&mut c.direct_requests), report, c.machines.len())
         });
         let Some((mut direct, report, machines)) = direct else { return "superseded" };
-        node.place(term);
+        node.place_if_due(term);
         direct
-            .extend(node.with_cell(term, |c, _| std::mem::take(&mut c.direct_requests)).unwrap_or_default());
+            .extend(node.with_leader_state(term, |c, _| std::mem::take(&mut c.direct_requests)).unwrap_or_default());
         let alone = alone_ms(report_ms);
         heard = heard.max(report);
         if (now > heard + alone) != deaf {
@@ -93,25 +93,25 @@
         }
         // A leader that reaches the state service but nobody else is of no use to anybody. What
         // workers tell others comes over peers.
-        if node.cluster.any_peer(now) {
+        if node.cluster.has_reachable_peer(now) {
             peers = now;
         }
         // Workers that were asked in vain are better evidence than silence.
-        let alone = if beat.is_multiple_of(5) && node.asked_in_vain() { ASKED_MS } else { alone };
+        let alone = if beat.is_multiple_of(5) && node.is_cut_off_from_workers() { ASKED_MS } else { alone };
         if now > peers.max(heard) + alone {
-            return DEAF;
+            return ISOLATED;
         }
         if beat.is_multiple_of(5)
-            && let Some(to) = node.outdone(taken)
+            && let Some(to) = node.handover_target(taken)
         {
             tracing::info!("handing over: {to} reaches the workers, this controller none");
-            return OUTDONE;
+            return HANDED_OVER;
         }
-        node.send_directly(term, direct);
-        if node.state.lock().expect("lock").top_term > term {
+        node.send_direct_orders(term, direct);
+        if node.state.lock().expect("lock").highest_term > term {
             return "a newer term was seen";
         }
-        node.kick();
+        node.notify_dirty();
         let slept = node.now();
         sleep(ms(BEAT_MS)).await;
         lag = node.now().saturating_sub(slept + BEAT_MS);
--- a/crates/controller/src/listen.rs
+++ b/crates/controller/src/listen.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 /// How long a port that is taken is tried again.
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub const BIND_TIMEOUT: Duration = Duration::from_secs(8);
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// A port that could not be had; names the address and the setting that asks for it.
@@ -94,9 +94,9 @@
             }
             // TEST-NET: no machine has it. Nothing is waited for.
             let begin = Instant::now();
-            let e = listen("192.0.2.1:80", "front", PATIENCE).await.expect_err("not here");
+            let e = listen("192.0.2.1:80", "front", BIND_TIMEOUT).await.expect_err("not here");
             assert!(e.to_string().contains("an address of this machine"), "{e}");
-            assert!(begin.elapsed() < PATIENCE);
+            assert!(begin.elapsed() < BIND_TIMEOUT);
         });
     }
 }
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -102,7 +102,7 @@
 fn load(files: &Files) -> Result<Settings, ExitCode> {
     settings::load(&files.config, files.tuning.as_deref()).map_err(|e| {
         eprintln!("copperhaven: {e}");
-        ExitCode::from(client::USAGE)
+        ExitCode::from(client::EXIT_USAGE)
     })
 }
 
@@ -116,11 +116,11 @@
 }
 
 fn job(id: &str, server: &str, cancel: bool) -> Result<(), ExitCode> {
-    show(runtime()?.block_on(client::job(id, server, cancel)))
+    show(runtime()?.block_on(client::job_command(id, server, cancel)))
 }
 
 fn show((text, code): (String, u8)) -> Result<(), ExitCode> {
-    if code == client::DONE {
+    if code == client::EXIT_OK {
         println!("{text}");
         return Ok(());
     }
@@ -130,7 +130,7 @@
 
 fn stages(files: &Files) -> Result<(), ExitCode> {
     let settings = load(files)?;
-    show(runtime()?.block_on(client::stages(&settings)))
+    show(runtime()?.block_on(client::stages_command(&settings)))
 }
 
 /// Runs a controller, for as long as nothing is wrong.
@@ -178,7 +178,7 @@
         }
         (None, Some(files)) if args.check => check(files),
         (None, Some(files)) => serve(files, args.log_format),
-        (None, None) => Err(ExitCode::from(client::USAGE)),
+        (None, None) => Err(ExitCode::from(client::EXIT_USAGE)),
     };
     done.err().unwrap_or(ExitCode::SUCCESS)
 }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -58,16 +58,16 @@
     let writes = figure("store_writes", "Puts and deletes sent in this term");
     let latency = figure("commit_seconds", "Time that transactions of this term took");
     let refused = figure("refused_requests", "Requests of users refused for being too many");
-    for (why, n) in crate::node::REFUSALS.iter().zip(&node.refused) {
+    for (why, n) in crate::node::REFUSAL_REASONS.iter().zip(&node.refusal_counts) {
         let n = n.load(std::sync::atomic::Ordering::Relaxed) as f64;
         refused.get_or_create(&vec![("many", (*why).into())]).set(n);
     }
     let reach =
         figure("reaches", "1 if this controller reaches the state service, a peer, a leader");
     let silent = figure("workers_silent_seconds", "Time since the leader last heard any worker");
-    let state_service = node.state.lock().expect("lock").no_state.is_none();
-    let peer = node.cluster.any_peer(node.now());
-    for (what, yes) in [("state", state_service), ("peer", peer), ("leader", node.up())] {
+    let state_service = node.state.lock().expect("lock").state_service_down_since_ms.is_none();
+    let peer = node.cluster.has_reachable_peer(node.now());
+    for (what, yes) in [("state", state_service), ("peer", peer), ("leader", node.is_ready())] {
         reach.get_or_create(&vec![("what", what.into())]).set(f64::from(u8::from(yes)));
     }
     let release = figure("release", "Release that each controller was last heard to run, 0: never");
@@ -79,17 +79,17 @@
     let held = figure("records_held_back", "Records too long to be written until they shrink");
     let unreadable =
         figure("records_unreadable", "Records that can't be read or used, left as they are");
-    let asked = node.state.lock().expect("lock").unreadable.len();
+    let asked = node.state.lock().expect("lock").unreadable_keys.len();
     let swept =
         figure("swept", "Jobs and tasks that were in no place and were put back, in this term");
     let writes_refused =
         figure("refused_writes", "Transactions of this term that the state service refused");
-    let (seen, leads) = node.standing();
+    let (seen, leads) = node.leadership_status();
     let none: Labels = vec![];
-    upgraded.get_or_create(&none).set(f64::from(u8::from(node.cluster.upgraded())));
+    upgraded.get_or_create(&none).set(f64::from(u8::from(node.cluster.is_upgraded())));
     term.get_or_create(&none).set(seen as f64);
     leader.get_or_create(&none).set(f64::from(u8::from(leads)));
-    let (sent, left) = node.lanes.counts();
+    let (sent, left) = node.direct_orders.sent_and_dropped();
     for (fate, counts) in [("sent", sent), ("left out", left)] {
         for (kind, n) in ["halt", "nudge", "term"].into_iter().zip(counts) {
             let labels = vec![("kind", kind.into()), ("fate", fate.into())];
@@ -97,7 +97,7 @@
         }
     }
     let now = node.now();
-    node.with_cell(seen, |c, _| {
+    node.with_leader_state(seen, |c, _| {
         for (i, name) in Phase::NAMES.iter().enumerate() {
             let here = f64::from(u8::from(c.recovery.phase() as usize == i));
             phase.get_or_create(&vec![("phase", (*name).into())]).set(here);
@@ -150,8 +150,8 @@
         failing.get_or_create(&none).set(fail as f64);
         let span = c.settings.tuning.default_span_s;
         for (z, zone) in (0..c.names.zones.len()).map(|z| (z, c.names.zones.name(z))) {
-            for (k, flavor) in c.flavors.iter().enumerate() {
-                let pool = z * c.flavors.len() + k;
+            for (k, flavor) in c.machine_types.iter().enumerate() {
+                let pool = z * c.machine_types.len() + k;
                 let labels = vec![("zone", zone.to_string()), ("type", flavor.label.clone())];
                 let routed = |j: &Job| j.routed_by_pool.get(pool).copied().unwrap_or(0);
                 let x: u32 = c.jobs.values().map(routed).sum();
--- a/crates/controller/src/net.rs
+++ b/crates/controller/src/net.rs
@@ -10,11 +10,11 @@
 use tokio::net::TcpStream;
 
 /// A connection on its way.
-pub type Dialing = Pin<Box<dyn Future<Output = io::Result<DuplexStream>> + Send>>;
+pub type DialFuture = Pin<Box<dyn Future<Output = io::Result<DuplexStream>> + Send>>;
 
 /// A network other than the machine's.
 pub trait Dial: Send + Sync {
-    fn dial(&self, addr: &str) -> Dialing;
+    fn dial(&self, addr: &str) -> DialFuture;
 }
 
 /// How connections are made.
@@ -22,7 +22,7 @@
 pub enum Net {
     #[default]
     Tcp,
-    Other(Arc<dyn Dial>),
+    Custom(Arc<dyn Dial>),
 }
 
 impl Net {
@@ -33,7 +33,7 @@
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
             }
-            Net::Other(net) => net.dial(addr).await.map(Stream::Other),
+            Net::Custom(net) => net.dial(addr).await.map(Stream::Other),
         }
     }
 }
--- a/crates/controller/src/node/directly.rs
+++ b/crates/controller/src/node/directly.rs
@@ -15,17 +15,17 @@
 const LIMIT: Duration = Duration::from_millis(2000);
 
 /// The lane, and the term that it is for.
-pub struct Lanes(Mutex<(u64, SendQueue<DirectRequest>)>);
+pub struct DirectOrders(Mutex<(u64, SendQueue<DirectRequest>)>);
 
-impl Lanes {
-    pub(super) fn new(settings: &copperhaven_core::settings::Settings) -> Lanes {
+impl DirectOrders {
+    pub(super) fn new(settings: &copperhaven_core::settings::Settings) -> DirectOrders {
         let limits = &settings.deployment.limits;
         let budget = SendBudget::from_limits(limits.cpu_share, limits.max_connections);
-        Lanes(Mutex::new((0, SendQueue::new(budget, MOST, 0))))
+        DirectOrders(Mutex::new((0, SendQueue::new(budget, MOST, 0))))
     }
 
     /// Sent and left out so far, by urgency.
-    pub fn counts(&self) -> ([u64; SEND_PRIORITY_COUNT], [u64; SEND_PRIORITY_COUNT]) {
+    pub fn sent_and_dropped(&self) -> ([u64; SEND_PRIORITY_COUNT], [u64; SEND_PRIORITY_COUNT]) {
         let lane = &self.0.lock().expect("lock").1;
         (lane.sent, lane.dropped)
     }
@@ -33,9 +33,9 @@
 
 impl Node {
     /// Takes these in, and sends what is due.
-    pub fn send_directly(self: &Arc<Self>, term: u64, all: Vec<DirectRequest>) {
+    pub fn send_direct_orders(self: &Arc<Self>, term: u64, all: Vec<DirectRequest>) {
         let now = self.now();
-        let mut lanes = self.lanes.0.lock().expect("lock");
+        let mut lanes = self.direct_orders.0.lock().expect("lock");
         let (of, lane) = &mut *lanes;
         if *of != term {
             // What an earlier term had left would be refused.
@@ -49,7 +49,7 @@
         if lane.is_empty() {
             return;
         }
-        let due = self.with_cell(term, |c, _| {
+        let due = self.with_leader_state(term, |c, _| {
             lane.take_ready(now, |urgency, d| {
                 let m = d.machine.and_then(|mid| c.machines.get(&mid));
                 match (urgency, d.machine) {
@@ -64,7 +64,7 @@
             let node = self.clone();
             tokio::spawn(async move {
                 send(&node, term, d).await;
-                node.lanes.0.lock().expect("lock").1.record_completed();
+                node.direct_orders.0.lock().expect("lock").1.record_completed();
             });
         }
     }
@@ -92,10 +92,10 @@
     let mut shift = d.session;
     for _ in 0..2 {
         let body = Body { shift, orders: &orders };
-        let answer = node.workers.post(&d.addr, "/commands", &body, LIMIT).await;
+        let answer = node.worker_client.post(&d.addr, "/commands", &body, LIMIT).await;
         let Ok(answer) = answer else { return };
         match (answer.status, answer.decode::<Report>()) {
-            (409, Some(r)) if r.term > term => return node.heard_term(r.term, None),
+            (409, Some(r)) if r.term > term => return node.observe_term(r.term, None),
             (409, Some(r)) if r.session != shift => shift = r.session,
             _ => return,
         }
--- a/crates/controller/src/node/doors.rs
+++ b/crates/controller/src/node/doors.rs
@@ -2,17 +2,17 @@
 
 /// Reports in a second: those at this node's own door, and all that it answers as leader.
 #[derive(Debug, Default)]
-pub(super) struct Doors {
+pub(super) struct ReportLoad {
     pub(super) since: u64,
     pub(super) now: (u32, u32),
-    pub(super) last: (u32, u32),
+    pub(super) previous_window: (u32, u32),
     pub(super) sent_away: u64,
 }
 
-impl Doors {
-    pub(super) fn count(&mut self, own: bool, now: u64) {
+impl ReportLoad {
+    pub(super) fn record_report(&mut self, own: bool, now: u64) {
         if now >= self.since + 1000 {
-            self.last = if now < self.since + 2000 { self.now } else { (0, 0) };
+            self.previous_window = if now < self.since + 2000 { self.now } else { (0, 0) };
             (self.since, self.now) = (now, (0, 0));
         }
         if own {
@@ -24,8 +24,8 @@
 
     /// Should a worker be sent to another controller? A leader whose processor reports keep busy
     /// leaves their reception to the others and takes half of an equal share itself.
-    pub(super) fn sheds(&mut self, nodes: usize, cpu_share: f64, now: u64) -> bool {
-        let (own, all) = self.last;
+    pub(super) fn should_redirect(&mut self, nodes: usize, cpu_share: f64, now: u64) -> bool {
+        let (own, all) = self.previous_window;
         let busy = f64::from(all) * REPORT_COST_S > cpu_share * BUSY;
         let much = own as usize * nodes * 2 > all as usize;
         let sheds = busy && much && now >= self.sent_away + SHED_MS;
--- a/crates/controller/src/node/lookups.rs
+++ b/crates/controller/src/node/lookups.rs
@@ -12,30 +12,30 @@
 
 impl Node {
     /// May a question about this job cost the state service `n` requests now? Who asked in vain goes first.
-    pub(super) fn may_look_up(&self, uid: &str, n: usize) -> bool {
+    pub(super) fn try_reserve_lookups(&self, uid: &str, n: usize) -> bool {
         self.lookups.lock().expect("lock").try_acquire(uid, n, self.now())
     }
 
     /// Looks an id up that is not in memory: final jobs leave it. Err: no answer.
-    pub(super) async fn past(&self, term: u64, uid: &str) -> Result<Option<FinalRecord>, Reply> {
-        if self.lacks_state() {
+    pub(super) async fn look_up_final(&self, term: u64, uid: &str) -> Result<Option<FinalRecord>, Reply> {
+        if self.is_state_service_down() {
             return Err(Reply::later("the state service is out of reach", 1));
         }
-        if !self.may_look_up(uid, 1) {
-            return Err(self.too_many(2));
+        if !self.try_reserve_lookups(uid, 1) {
+            return Err(self.refuse_over_limit(2));
         }
-        self.read_past(term, uid).await
+        self.read_final(term, uid).await
     }
 
     /// The same, once it may cost a look-up.
-    pub(super) async fn read_past(
+    pub(super) async fn read_final(
         &self,
         term: u64,
         uid: &str,
     ) -> Result<Option<FinalRecord>, Reply> {
         match self.store.get::<FinalRecord>(&format!("f/{uid}")).await {
             Ok(Some((record, _))) => {
-                self.with_cell(term, |c, _| c.final_records.insert(uid.into(), record.clone()));
+                self.with_leader_state(term, |c, _| c.final_records.insert(uid.into(), record.clone()));
                 Ok(Some(record))
             }
             Ok(None) => Ok(None),
@@ -48,19 +48,19 @@
     }
 
     /// What the records say of a job that is not in memory. Err: no certain answer now.
-    pub(super) async fn look_up(&self, term: u64, uid: &str) -> Result<DependencyState, Reply> {
-        match self.past(term, uid).await? {
+    pub(super) async fn look_up_job(&self, term: u64, uid: &str) -> Result<DependencyState, Reply> {
+        match self.look_up_final(term, uid).await? {
             Some(f) if f.done => return Ok(DependencyState::Done),
             Some(_) => return Ok(DependencyState::Cancelled),
             None => {}
         }
-        if !self.may_look_up(uid, 1) {
-            return Err(self.too_many(2));
+        if !self.try_reserve_lookups(uid, 1) {
+            return Err(self.refuse_over_limit(2));
         }
         // Accepted under other settings it would be on record without being in memory.
         match self.store.get::<serde::de::IgnoredAny>(&format!("j/{uid}")).await {
             Ok(Some(_)) => Ok(DependencyState::Open),
-            Ok(None) if self.leading(false) => Ok(DependencyState::NeverAccepted),
+            Ok(None) if self.can_serve_as_leader(false) => Ok(DependencyState::NeverAccepted),
             _ => Err(Reply::later("no certain answer about a job that it waits for", 1)),
         }
     }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -17,13 +17,13 @@
 use crate::cluster::Cluster;
 use crate::http::Client;
 use crate::net::Net;
-use crate::node::doors::Doors;
+use crate::node::doors::ReportLoad;
 use crate::store::Store;
 use copperhaven_core::lookups::LookupLimiter;
 use copperhaven_core::pace::RateLimiter;
 use copperhaven_core::settings::Settings;
 use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::state::fleet::Flavor;
+use copperhaven_core::state::fleet::MachineType;
 use copperhaven_core::state::names::Names;
 use copperhaven_wire::cloud::WireMachineType;
 use std::collections::BTreeSet;
@@ -34,21 +34,21 @@
 use tokio::time::{Instant, timeout_at};
 
 #[derive(Default)]
-pub struct State {
+pub struct NodeState {
     pub cell: Option<LeaderState>,
     /// Send time of the last good renewal of the leader's lease.
-    pub renewed: u64,
+    pub lease_renewed_ms: u64,
     /// Term and member of the last leader heard of.
     pub leader: Option<(u64, usize)>,
     /// The highest term seen anywhere.
-    pub top_term: u64,
-    pub flavors: Option<Vec<WireMachineType>>,
+    pub highest_term: u64,
+    pub machine_types: Option<Vec<WireMachineType>>,
     /// When this node could last reach a leader.
-    pub reached: u64,
+    pub leader_reached_ms: u64,
     /// Since when the state service gives this node no answers.
-    pub no_state: Option<u64>,
+    pub state_service_down_since_ms: Option<u64>,
     /// Keys of records that were asked for and can't be read.
-    pub unreadable: BTreeSet<String>,
+    pub unreadable_keys: BTreeSet<String>,
 }
 
 pub struct Node {
@@ -58,79 +58,79 @@
     pub cluster: Cluster,
     pub store: Store,
     pub cloud: Cloud,
-    pub workers: Client,
-    pub state: Mutex<State>,
+    pub worker_client: Client,
+    pub state: Mutex<NodeState>,
     /// Rises with every applied transaction and every change of the leader.
     pub changed: watch::Sender<u64>,
     pub dirty: Notify,
-    users: Semaphore,
-    questions: Semaphore,
+    request_slots: Semaphore,
+    query_slots: Semaphore,
     /// Look-ups at the state service on behalf of users.
     lookups: Mutex<LookupLimiter>,
     /// Requests refused for being too many, by what was bounded; for the metrics.
-    pub refused: [AtomicU64; 3],
-    doors: Mutex<Doors>,
-    pub(super) reached: reach::Lock,
+    pub refusal_counts: [AtomicU64; 3],
+    report_load: Mutex<ReportLoad>,
+    pub(super) connectivity: reach::ConnectivityLock,
     seat: OnceLock<String>,
-    pub lanes: directly::Lanes,
+    pub direct_orders: directly::DirectOrders,
     /// When this controller last gave its term up to have the records read anew.
     anew: Mutex<Option<u64>>,
 }
 
 /// What a request was refused for, as the metrics name it.
-pub const REFUSALS: [&str; 3] = ["requests at once", "questions at once", "look-ups"];
+pub const REFUSAL_REASONS: [&str; 3] = ["requests at once", "questions at once", "look-ups"];
 
 /// Submissions and cancellations that are served at the same time, and questions, which are many
 /// and must not crowd those out.
 const USERS: usize = 64;
-const QUESTIONS: usize = 96;
+const MAX_CONCURRENT_QUERIES: usize = 96;
 
 /// The part of the state service's rate that all controllers together spend on users' look-ups.
 const LOOKUPS: f64 = 0.3;
 
 impl Node {
     pub fn new(settings: Settings) -> Node {
-        Node::within(Net::Tcp, settings)
+        Node::with_net(Net::Tcp, settings)
     }
 
     /// A controller whose connections are made in this network.
-    pub fn within(net: Net, settings: Settings) -> Node {
+    pub fn with_net(net: Net, settings: Settings) -> Node {
         let share = settings.deployment.state.rps() * LOOKUPS;
         let pace = RateLimiter::new(share / (settings.members.len() + 1) as f64, 0);
         Node {
             cluster: Cluster::new(&settings),
             store: Store::new(net.clone(), settings.endpoints.state.clone()),
             cloud: Cloud::new(net.clone(), settings.endpoints.cloud.clone()),
-            workers: Client::within(net.clone(), 1),
+            worker_client: Client::with_net(net.clone(), 1),
             net,
-            lanes: directly::Lanes::new(&settings),
+            direct_orders: directly::DirectOrders::new(&settings),
             anew: Mutex::default(),
             settings: Arc::new(settings),
             start: Instant::now(),
             state: Mutex::default(),
             changed: watch::Sender::new(0),
             dirty: Notify::new(),
-            users: Semaphore::new(USERS),
-            questions: Semaphore::new(QUESTIONS),
+            request_slots: Semaphore::new(USERS),
+            query_slots: Semaphore::new(MAX_CONCURRENT_QUERIES),
             lookups: Mutex::new(LookupLimiter::new(pace)),
-            refused: Default::default(),
-            doors: Mutex::default(),
-            reached: Mutex::default(),
+            refusal_counts: Default::default(),
+            report_load: Mutex::default(),
+            connectivity: Mutex::default(),
             seat: OnceLock::new(),
         }
     }
 
     /// This process listens for its peers on this address, and will until it ends.
-    pub fn take_seat(&self, addr: &str) {
+    pub fn set_listen_addr(&self, addr: &str) {
         let _ = self.seat.set(addr.into());
     }
 
-    pub(crate) fn seat(&self) -> Option<&str> {
+    pub(crate) fn listen_addr(&self) -> Option<&str> {
         self.seat.get().map(String::as_str)
     }
 
     /// May the records be read anew now, for a job that memory lacks? Not again within so long.
-    pub fn read_anew(&self, now: u64, pause: u64) -> bool {
+    pub fn try_claim_reload(&self, now: u64, pause: u64) -> bool {
         let mut last = self.anew.lock().expect("lock");
         let may = last.is_none_or(|at| now > at + pause);
         if may {
@@ -144,23 +144,23 @@
         self.start.elapsed().as_millis() as u64 + 1000
     }
 
-    pub fn wall_ms() -> u64 {
+    pub fn unix_time_ms() -> u64 {
         std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64)
     }
 
     /// Runs `f` on the cell of this term; the flag says whether the leader is in authority.
-    pub fn with_cell<T>(&self, term: u64, f: impl FnOnce(&mut LeaderState, bool) -> T) -> Option<T> {
+    pub fn with_leader_state<T>(&self, term: u64, f: impl FnOnce(&mut LeaderState, bool) -> T) -> Option<T> {
         let now = self.now();
         let mut state = self.state.lock().expect("lock");
-        let lead = self.authority(&state, now);
+        let lead = self.has_authority(&state, now);
         let cell = state.cell.as_mut().filter(|c| c.term == term)?;
         Some(f(cell, lead))
     }
 
     /// Waits until `f` yields something of the cell of this term, or the limit.
-    pub(super) async fn until<T>(
+    pub(super) async fn wait_until<T>(
         &self,
         term: u64,
         limit: Duration,
@@ -169,10 +169,10 @@
         let end = Instant::now() + limit;
         let mut changed = self.changed.subscribe();
         loop {
-            if let Some(v) = self.with_cell(term, &mut f)? {
+            if let Some(v) = self.with_leader_state(term, &mut f)? {
                 return Some(v);
             }
-            self.kick();
+            self.notify_dirty();
             match timeout_at(end, changed.changed()).await {
                 Ok(Ok(())) => {}
                 _ => return None,
@@ -184,20 +184,20 @@
         self.state.lock().expect("lock").cell.as_ref().map(|c| c.term)
     }
 
-    pub fn kick(&self) {
+    pub fn notify_dirty(&self) {
         self.dirty.notify_one();
     }
 
-    pub fn bump(&self) {
+    pub fn notify_changed(&self) {
         self.changed.send_modify(|n| *n += 1);
     }
 
     /// Names and machine types for a new leader's cell.
-    pub fn known_flavors(&self) -> Option<(Names, Vec<Flavor>)> {
+    pub fn names_and_machine_types(&self) -> Option<(Names, Vec<MachineType>)> {
         let state = self.state.lock().expect("lock");
-        let wire = state.flavors.as_ref()?;
+        let wire = state.machine_types.as_ref()?;
         let mut names = Names::new(&self.settings);
-        let flavors = wire.iter().map(|w| Flavor::from_wire(w, &mut names)).collect();
+        let flavors = wire.iter().map(|w| MachineType::from_wire(w, &mut names)).collect();
         Some((names, flavors))
     }
 }
--- a/crates/controller/src/node/questions.rs
+++ b/crates/controller/src/node/questions.rs
@@ -13,17 +13,17 @@
 
 impl Node {
     /// What is known of a job in memory.
-    pub(super) fn known(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
-        self.with_cell(term, |c, _| {
+    pub(super) fn job_in_memory(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
+        self.with_leader_state(term, |c, _| {
             if c.jobs.contains_name(uid) || c.final_records.contains(uid) { Some(c.job_status(uid)) } else { None }
         })
         .flatten()
     }
 
     /// Why this leader has set a job aside, if it has.
-    pub(super) fn aside(&self, uid: &str) -> Option<String> {
+    pub(super) fn unreadable_job_reason(&self, uid: &str) -> Option<String> {
         let term = self.term()?;
-        self.with_cell(term, |c, _| c.unreadable.job_reason(uid).map(ToString::to_string)).flatten()
+        self.with_leader_state(term, |c, _| c.unreadable.job_reason(uid).map(ToString::to_string)).flatten()
     }
 
     pub(super) async fn show(&self, body: &[u8]) -> Reply {
@@ -32,23 +32,23 @@
             return Reply::error(404, "unknown job");
         }
         let Some(term) = self.term() else { return Reply::later("no leader", 1) };
-        if let Some(known) = self.known(term, uid) {
+        if let Some(known) = self.job_in_memory(term, uid) {
             return match known {
                 Some(shown) => Reply::new(200, &shown),
                 None => self.show_recording(term, uid).await,
             };
         }
-        if self.lacks_state() {
+        if self.is_state_service_down() {
             return Reply::later("the state service is out of reach", 1);
         }
-        if !self.may_look_up(uid, 3) {
-            return self.too_many(2);
+        if !self.try_reserve_lookups(uid, 3) {
+            return self.refuse_over_limit(2);
         }
-        let past = self.read_past(term, uid).await;
+        let past = self.read_final(term, uid).await;
         match past {
             // Whatever was accepted and is not over should be in the memory of a leader in
             // authority; what could not be read in (other settings now) is still on record.
-            Ok(None) if self.leading(false) && self.known(term, uid).is_none() => {
+            Ok(None) if self.can_serve_as_leader(false) && self.job_in_memory(term, uid).is_none() => {
                 return self.read_both(uid).await;
             }
             _ => self.lookups.lock().expect("lock").refund(2),
@@ -63,13 +63,13 @@
     /// A record of it is on its way, and nobody knows here whether it is applied: what others read of it may be newer than
     /// what is in memory. Mostly that is known at once; else the record itself is asked.
     async fn show_recording(&self, term: u64, uid: &str) -> Reply {
-        let known = self.until(term, RECORDING, |c, lead| c.job_status(uid).filter(|_| lead));
+        let known = self.wait_until(term, RECORDING, |c, lead| c.job_status(uid).filter(|_| lead));
         if let Some(shown) = known.await {
             return Reply::new(200, &shown);
         }
         let accepted =
-            self.with_cell(term, |c, _| c.job(uid).is_some_and(|(id, j)| c.is_accepted(id, j)));
-        if accepted == Some(true) && !self.lacks_state() && self.may_look_up(uid, 2) {
+            self.with_leader_state(term, |c, _| c.job(uid).is_some_and(|(id, j)| c.is_accepted(id, j)));
+        if accepted == Some(true) && !self.is_state_service_down() && self.try_reserve_lookups(uid, 2) {
             return self.read_both(uid).await;
         }
         Reply::later("being recorded", 1)
@@ -82,18 +82,18 @@
             return Reply::error(404, "unknown job");
         }
         // Who lacks both the leader and the state service says so at once.
-        if self.lacks_state() {
-            return Reply { close: true, ..Reply::later("the state service is out of reach", 1) };
+        if self.is_state_service_down() {
+            return Reply { close_connection: true, ..Reply::later("the state service is out of reach", 1) };
         }
-        if !self.may_look_up(uid, 2) {
-            return self.too_many(2);
+        if !self.try_reserve_lookups(uid, 2) {
+            return self.refuse_over_limit(2);
         }
         self.read_both(uid).await
     }
 
     /// What the open and the final record of a job say.
     async fn read_both(&self, uid: &str) -> Reply {
-        let aside = self.aside(uid);
+        let aside = self.unreadable_job_reason(uid);
         let later = match &aside {
             Some(why) => Reply::later(why, 30),
             None => Reply::later("no leader within reach", 1),
--- a/crates/controller/src/node/reach.rs
+++ b/crates/controller/src/node/reach.rs
@@ -64,9 +64,9 @@
 
 impl Node {
     /// A worker reported at this node's own door: its zone is reached.
-    pub(super) fn heard_worker(&self, body: &[u8]) {
+    pub(super) fn observe_worker_report(&self, body: &[u8]) {
         let now = self.now();
-        let mut r = self.reached.lock().expect("lock");
+        let mut r = self.connectivity.lock().expect("lock");
         if now < r.looked + LOOK_MS {
             return;
         }
@@ -81,8 +81,8 @@
     }
 
     /// The state service answered a request sent then, or did not.
-    pub fn state_asked(&self, sent: u64, answered: bool) {
-        let mut r = self.reached.lock().expect("lock");
+    pub fn record_state_service_probe(&self, sent: u64, answered: bool) {
+        let mut r = self.connectivity.lock().expect("lock");
         if answered {
             r.own.state_service.record_answer(sent, self.now());
         } else {
@@ -91,9 +91,9 @@
     }
 
     /// A worker was asked, and answered or did not.
-    pub fn worker_asked(&self, zone: u32, sent: u64, answered: bool) {
+    pub fn record_worker_probe(&self, zone: u32, sent: u64, answered: bool) {
         let now = self.now();
-        let mut r = self.reached.lock().expect("lock");
+        let mut r = self.connectivity.lock().expect("lock");
         let link = r.own.zone_link_mut(zone);
         if answered {
             link.record_answer(sent, now);
@@ -104,9 +104,9 @@
 
     /// The workers to be asked now, one of each zone: none while any was heard for so long. `None`:
     /// none is known at all.
-    pub fn to_ask(&self, silence_ms: u64) -> Option<Vec<Target>> {
+    pub fn probe_targets(&self, silence_ms: u64) -> Option<Vec<Target>> {
         let now = self.now();
-        let mut r = self.reached.lock().expect("lock");
+        let mut r = self.connectivity.lock().expect("lock");
         if !r.own.is_silent(now, silence_ms) {
             return Some(vec![]);
         }
@@ -128,9 +128,9 @@
     }
 
     /// Workers that records tell of: address and zone. Zones without any have nobody to be reached.
-    pub fn know_workers<'a>(&self, all: impl Iterator<Item = (&'a str, &'a str)>) {
+    pub fn add_known_workers<'a>(&self, all: impl Iterator<Item = (&'a str, &'a str)>) {
         let now = self.now();
-        let mut r = self.reached.lock().expect("lock");
+        let mut r = self.connectivity.lock().expect("lock");
         for (addr, zone) in all {
             let zone = r.zone(zone);
             r.remember(zone, addr, now);
@@ -140,10 +140,10 @@
     }
 
     /// What this node reaches, as it is told to others; changes are told in the log.
-    pub fn facts(&self) -> Connectivity {
+    pub fn own_connectivity(&self) -> Connectivity {
         let now = self.now();
-        let peers = self.cluster.reaches(now);
-        let mut r = self.reached.lock().expect("lock");
+        let peers = self.cluster.reachable_mask(now);
+        let mut r = self.connectivity.lock().expect("lock");
         let facts = r.own.connectivity(peers, now);
         let known = |f: &Connectivity| (f.state_service, f.workers_percent.map(|w| w.div_ceil(50)), f.peer_mask);
         if r.told.is_none_or(|told| known(&told) != known(&facts)) {
@@ -163,21 +163,21 @@
     }
 
     /// The body of a pong: what this node reaches, and what it knows of others.
-    pub fn tell_facts(&self) -> Vec<u8> {
-        let own = (Member(self.cluster.me), self.facts(), 0);
+    pub fn encode_connectivity(&self) -> Vec<u8> {
+        let own = (Member(self.cluster.own_index), self.own_connectivity(), 0);
         let now = self.now();
-        let r = self.reached.lock().expect("lock");
-        let others = r.known.unexpired(now).filter(|(m, ..)| m.0 != self.cluster.me);
+        let r = self.connectivity.lock().expect("lock");
+        let others = r.known.unexpired(now).filter(|(m, ..)| m.0 != self.cluster.own_index);
         told::encode(std::iter::once(own).chain(others))
     }
 
     /// A peer told what it reaches and knows. Nonsense is dropped, and told once.
-    pub fn hear_facts(&self, peer: usize, body: &[u8]) {
+    pub fn merge_peer_connectivity(&self, peer: usize, body: &[u8]) {
         let now = self.now();
-        let mut r = self.reached.lock().expect("lock");
+        let mut r = self.connectivity.lock().expect("lock");
         match told::decode(body, self.cluster.members.len()) {
             Ok(all) => {
-                for (member, facts, age) in all.into_iter().filter(|(m, ..)| m.0 != self.cluster.me)
+                for (member, facts, age) in all.into_iter().filter(|(m, ..)| m.0 != self.cluster.own_index)
                 {
                     r.known.update(member, facts, age, now);
                 }
@@ -194,52 +194,52 @@
     }
 
     fn with_view<T>(&self, f: impl FnOnce(&mut Candidacy, &ElectionView) -> T) -> T {
-        let own = self.facts();
+        let own = self.own_connectivity();
         let now = self.now();
-        let mut r = self.reached.lock().expect("lock");
+        let mut r = self.connectivity.lock().expect("lock");
         let Reached { known, standing, .. } = &mut *r;
         let of = |m: Member| known.get(m, now);
         let members = self.cluster.members.len();
-        f(standing, &ElectionView { self_member: Member(self.cluster.me), local: own, member_count: members, peer_connectivity: &of })
+        f(standing, &ElectionView { self_member: Member(self.cluster.own_index), local: own, member_count: members, peer_connectivity: &of })
     }
 
     /// While nobody leads: how long to leave others the first try.
-    pub fn standing_wait(&self) -> u64 {
+    pub fn election_delay_ms(&self) -> u64 {
         let now = self.now();
         let wait = self.with_view(|s, view| s.election_delay_ms(view, now));
-        let behind = self.reached.lock().expect("lock").standing.is_in_restart_backoff(now);
+        let behind = self.connectivity.lock().expect("lock").standing.is_in_restart_backoff(now);
         let started = now < STARTED_MS && !self.has_led() && !behind;
         if started { 0 } else { wait }
     }
 
     fn has_led(&self) -> bool {
-        self.state.lock().expect("lock").renewed > 0
+        self.state.lock().expect("lock").lease_renewed_ms > 0
     }
 
     /// It gave way, or handed over: others stand first for a while.
-    pub fn gave_way(&self) {
+    pub fn record_step_down(&self) {
         let now = self.now();
-        self.reached.lock().expect("lock").standing.record_step_down(now);
+        self.connectivity.lock().expect("lock").standing.record_step_down(now);
     }
 
     /// It ended as leader again and again: others stand first for a moment.
-    pub fn left_behind(&self) {
+    pub fn record_repeated_end(&self) {
         let now = self.now();
-        self.reached.lock().expect("lock").standing.record_repeated_end(now);
+        self.connectivity.lock().expect("lock").standing.record_repeated_end(now);
     }
 
     /// As leader since `elected`: the name of a controller to hand over to.
-    pub fn outdone(&self, elected: u64) -> Option<&str> {
+    pub fn handover_target(&self, elected: u64) -> Option<&str> {
         let now = self.now();
         let to = self.with_view(|s, view| s.handover_target(view, elected, now))?;
         self.cluster.members.get(to.0).map(String::as_str)
     }
 
     /// Were workers asked, and did none answer?
-    pub fn asked_in_vain(&self) -> bool {
-        self.facts().workers_percent == Some(0)
+    pub fn is_cut_off_from_workers(&self) -> bool {
+        self.own_connectivity().workers_percent == Some(0)
     }
 }
 
 /// For `Node`.
-pub type Lock = Mutex<Reached>;
+pub type ConnectivityLock = Mutex<Reached>;
--- a/crates/controller/src/node/reports.rs
+++ b/crates/controller/src/node/reports.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::frames::Op;
 use crate::node::Node;
-use crate::node::serve::NOT_ENTITLED;
+use crate::node::serve::STATUS_MISDIRECTED;
 use crate::reply::Reply;
 use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::workers::reports::ReportOutcome;
@@ -20,14 +20,14 @@
     /// A worker whose report is turned away comes back a second later, and its lease may run out
     /// meanwhile: while nobody leads (all have just started, or the leader was lost), its report
     /// waits for a leader, as long as the worker still waits for the answer.
-    pub(super) async fn report_at_the_door(&self, body: &[u8]) -> Reply {
+    pub(super) async fn receive_report(&self, body: &[u8]) -> Reply {
         if let Some(foreman) = self.elsewhere() {
             return Reply::new(421, &std::collections::BTreeMap::from([("foreman", foreman)]));
         }
         let end = Instant::now() + REPORT_HELD;
         loop {
-            let reply = self.serve(Op::Report, body, 2).await;
-            if reply.status != NOT_ENTITLED || Instant::now() >= end {
+            let reply = self.serve_or_forward(Op::Report, body, 2).await;
+            if reply.status != STATUS_MISDIRECTED || Instant::now() >= end {
                 return reply;
             }
             tokio::time::sleep(REPORT_RETRY).await;
@@ -36,15 +36,15 @@
 
     /// Another controller that a worker had better report to.
     pub(super) fn elsewhere(&self) -> Option<&str> {
-        if !self.leading(false) {
+        if !self.can_serve_as_leader(false) {
             return None;
         }
         let now = self.now();
-        let mut doors = self.doors.lock().expect("lock");
-        doors.count(true, now);
+        let mut doors = self.report_load.lock().expect("lock");
+        doors.record_report(true, now);
         let share = self.settings.deployment.limits.cpu_share;
-        if doors.sheds(self.cluster.members.len(), share, now) {
-            self.cluster.some_peer(now)
+        if doors.should_redirect(self.cluster.members.len(), share, now) {
+            self.cluster.pick_follower(now)
         } else {
             None
         }
@@ -54,15 +54,15 @@
         let Ok(report) = rmp_serde::from_slice::<Report>(body) else {
             return Reply::error(400, "malformed report");
         };
-        let none = Reply::error(NOT_ENTITLED, "no leader");
+        let none = Reply::error(STATUS_MISDIRECTED, "no leader");
         let Some(term) = self.term() else { return none };
         let now = self.now();
-        let taken = self.with_cell(term, |c, _| c.on_report(&report, now));
+        let taken = self.with_leader_state(term, |c, _| c.on_report(&report, now));
         let mid = match taken {
             Some(ReportOutcome::Answer(mid)) => mid,
             Some(ReportOutcome::NewerTerm(t)) => {
-                self.heard_term(t, None);
-                self.bump();
+                self.observe_term(t, None);
+                self.notify_changed();
                 return Reply::later("a newer leader has been", 1);
             }
             Some(ReportOutcome::Malformed(why)) => {
@@ -73,28 +73,28 @@
             None => return none,
         };
         // Passes are dear; reports that come in close to one another share one.
-        let pause = self.with_cell(term, |c, lead| c.ms_until_next_pass(now).filter(|_| lead)).flatten();
+        let pause = self.with_leader_state(term, |c, lead| c.ms_until_next_pass(now).filter(|_| lead)).flatten();
         if let Some(pause) = pause {
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        self.place(term);
+        self.place_if_due(term);
         let ready = |c: &mut LeaderState, lead: bool| (!lead || c.can_send_orders(mid)).then_some(());
-        self.until(term, REPORT_LIMIT, ready).await;
-        if !self.leading(true) {
+        self.wait_until(term, REPORT_LIMIT, ready).await;
+        if !self.can_serve_as_leader(true) {
             return none;
         }
         let now = self.now();
         let at = (report.session, report.sequence);
-        match self.with_cell(term, |c, lead| c.issue_orders(mid, at, now, lead)).flatten() {
+        match self.with_leader_state(term, |c, lead| c.issue_orders(mid, at, now, lead)).flatten() {
             Some(orders) => Reply::new(200, &orders),
             None => Reply::later("a newer report has come in", 1),
         }
     }
 
     /// A placement pass, if one is due.
-    pub fn place(&self, term: u64) {
+    pub fn place_if_due(&self, term: u64) {
         let begin = self.now();
-        let placed = self.with_cell(term, |c, lead| {
+        let placed = self.with_leader_state(term, |c, lead| {
             let due = lead && c.ms_until_next_pass(begin) == Some(0);
             if due {
                 c.run_placement_pass(begin);
@@ -103,7 +103,7 @@
         });
         if placed == Some(true) {
             let took = self.now() - begin;
-            self.with_cell(term, |c, _| c.record_pass_duration(took));
+            self.with_leader_state(term, |c, _| c.record_pass_duration(took));
         }
     }
 }
--- a/crates/controller/src/node/serve.rs
+++ b/crates/controller/src/node/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::cluster::frames::Op;
 use crate::node::Node;
-use crate::node::REFUSALS;
-use crate::node::submissions::spread;
+use crate::node::REFUSAL_REASONS;
+use crate::node::submissions::jittered_retry_s;
 use crate::reply::Reply;
 use copperhaven_wire::jobs;
 use std::sync::atomic::Ordering;
@@ -13,35 +13,35 @@
 const REPORT_FORWARD: Duration = Duration::from_millis(1900);
 
 /// The answer of a node that neither leads nor reaches a leader.
-pub(super) const NOT_ENTITLED: u16 = 421;
+pub(super) const STATUS_MISDIRECTED: u16 = 421;
 
 impl Node {
     /// Answers a request from this node's own door.
-    pub async fn ask(&self, op: Op, body: &[u8]) -> Reply {
+    pub async fn handle_request(&self, op: Op, body: &[u8]) -> Reply {
         // More at once than can be served in time is refused at once, but workers' reports, on
         // which their leases hang, never wait behind users.
-        let (slots, why) = if op == Op::Show { (&self.questions, 1) } else { (&self.users, 0) };
+        let (slots, why) = if op == Op::Show { (&self.query_slots, 1) } else { (&self.request_slots, 0) };
         let slot = (op != Op::Report).then(|| slots.try_acquire());
         if matches!(slot, Some(Err(_))) {
-            return self.too_many(why);
+            return self.refuse_over_limit(why);
         }
         if op == Op::Report {
-            self.heard_worker(body);
-            return self.report_at_the_door(body).await;
+            self.observe_worker_report(body);
+            return self.receive_report(body).await;
         }
-        self.serve(op, body, 2).await
+        self.serve_or_forward(op, body, 2).await
     }
 
-    pub(super) fn too_many(&self, why: usize) -> Reply {
-        self.refused[why].fetch_add(1, Ordering::Relaxed);
-        Reply::later(&format!("too many {}", REFUSALS[why]), spread(2))
+    pub(super) fn refuse_over_limit(&self, why: usize) -> Reply {
+        self.refusal_counts[why].fetch_add(1, Ordering::Relaxed);
+        Reply::later(&format!("too many {}", REFUSAL_REASONS[why]), jittered_retry_s(2))
     }
 
     /// Answers as leader, or passes the request on while it may be (`hops`).
-    pub async fn serve(&self, op: Op, body: &[u8], hops: u8) -> Reply {
-        if self.leading(op == Op::Report) {
+    pub async fn serve_or_forward(&self, op: Op, body: &[u8], hops: u8) -> Reply {
+        if self.can_serve_as_leader(op == Op::Report) {
             if op == Op::Report {
-                self.doors.lock().expect("lock").count(false, self.now());
+                self.report_load.lock().expect("lock").record_report(false, self.now());
             }
             return match op {
                 Op::Submit => self.submit(body).await,
@@ -52,8 +52,8 @@
         }
         // A leader of the version before would overlook what it has to wait for.
         if op == Op::Submit
-            && let Some(leader) = self.leader()
-            && !self.cluster.knows_pipelines(leader)
+            && let Some(leader) = self.leader_index()
+            && !self.cluster.has_pipeline_support(leader)
             && jobs::parse(body).is_ok_and(|job| job.depends_on.is_some_and(|a| !a.is_empty()))
         {
             return Reply::later("the upgrade is under way", 2);
@@ -61,7 +61,7 @@
         let limit = if op == Op::Show { Duration::from_millis(800) } else { FORWARD };
         let limit = if op == Op::Report { REPORT_FORWARD } else { limit };
         if hops > 0
-            && let Some(leader) = self.leader().filter(|l| *l != self.cluster.me)
+            && let Some(leader) = self.leader_index().filter(|l| *l != self.cluster.own_index)
             // What was passed on once goes straight to the leader, so that it can't go in circles.
             && let Some(reply) =
                 self.cluster.forward(leader, (self.now(), hops < 2), op, body, limit).await
@@ -73,8 +73,8 @@
             return self.show_from_store(body).await;
         }
         if op == Op::Report {
-            return Reply::error(NOT_ENTITLED, "no leader within reach");
+            return Reply::error(STATUS_MISDIRECTED, "no leader within reach");
         }
-        Reply { close: true, ..Reply::later("no leader within reach", 1) }
+        Reply { close_connection: true, ..Reply::later("no leader within reach", 1) }
     }
 }
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -12,16 +12,16 @@
 use std::time::Duration;
 
 /// What a submission comes to.
-pub(super) enum Taking {
-    In(String),
+pub(super) enum Admission {
+    Admitted(String),
     /// Its id, and the jobs about which the records have to be asked first.
-    Ask(String, Vec<String>),
+    NeedsLookup(String, Vec<String>),
     Refused(Reply),
 }
 
 /// Seconds after which to come back, from `s` to twice as many: a crowd that is turned away at once must
 /// not return at once. Users honour up to 30.
-pub(super) fn spread(s: u16) -> u16 {
+pub(super) fn jittered_retry_s(s: u16) -> u16 {
     rand::random_range(s..=2 * s).min(30)
 }
 
@@ -35,40 +35,40 @@
         let Some(term) = self.term() else { return Reply::later("no leader", 1) };
         let peeked = jobs::peek_uid(body);
         if let Some(uid) = &peeked
-            && self.known(term, uid).is_some()
+            && self.job_in_memory(term, uid).is_some()
         {
-            return self.accepted(term, uid, 200).await;
+            return self.reply_when_recorded(term, uid, 200).await;
         }
         // Accepted once, whatever could be said of it now: told as far as its record tells it.
         if let Some(uid) = &peeked
-            && self.aside(uid).is_some()
+            && self.unreadable_job_reason(uid).is_some()
         {
             return self.show(uid.as_bytes()).await;
         }
         // What the records say of jobs that it waits for and that are not in memory.
         let mut read = HashMap::new();
         for _ in 0..READS {
-            let taken = match self.take_in(term, body, &read) {
+            let taken = match self.admit(term, body, &read) {
                 Some(taken) => taken,
                 None => return Reply::later("the leader has changed", 1),
             };
             let ask = match (taken, &peeked) {
-                (Taking::In(uid), _) => return self.accepted(term, &uid, 201).await,
-                (Taking::Refused(refusal), None) => return refusal,
+                (Admission::Admitted(uid), _) => return self.reply_when_recorded(term, &uid, 201).await,
+                (Admission::Refused(refusal), None) => return refusal,
                 // A repeat of a job that is over gets its state, whatever else could be said of
                 // it. What is taken in needs no look-up: its record is conditional on there being
                 // none.
-                (Taking::Refused(refusal), Some(uid)) => {
-                    return match self.past(term, uid).await {
+                (Admission::Refused(refusal), Some(uid)) => {
+                    return match self.look_up_final(term, uid).await {
                         Ok(Some(f)) => Reply::new(200, &final_status(uid, &f)),
-                        Ok(None) if self.known(term, uid).is_none() => refusal,
-                        Ok(None) => self.accepted(term, uid, 200).await,
+                        Ok(None) if self.job_in_memory(term, uid).is_none() => refusal,
+                        Ok(None) => self.reply_when_recorded(term, uid, 200).await,
                         Err(later) => later,
                     };
                 }
-                (Taking::Ask(own, ask), _) => {
+                (Admission::NeedsLookup(own, ask), _) => {
                     if read.is_empty() {
-                        match self.past(term, &own).await {
+                        match self.look_up_final(term, &own).await {
                             Ok(Some(f)) => return Reply::new(200, &final_status(&own, &f)),
                             Ok(None) => {}
                             Err(later) => return later,
@@ -78,7 +78,7 @@
                 }
             };
             for uid in ask {
-                match self.look_up(term, &uid).await {
+                match self.look_up_job(term, &uid).await {
                     Ok(named) => read.insert(uid, named),
                     Err(later) => return later,
                 };
@@ -88,26 +88,26 @@
     }
 
     /// Checks and admits a submission that is not known in memory.
-    pub(super) fn take_in(
+    pub(super) fn admit(
         &self,
         term: u64,
         body: &[u8],
         read: &HashMap<String, DependencyState>,
-    ) -> Option<Taking> {
+    ) -> Option<Admission> {
         let mut job = match jobs::parse(body) {
             Ok(job) => job,
-            Err(e) => return Some(Taking::Refused(Reply::error(400, &e.to_string()))),
+            Err(e) => return Some(Admission::Refused(Reply::error(400, &e.to_string()))),
         };
         let uid = job.uid.clone();
         let now = self.now();
-        let taken = self.with_cell(term, |c, lead| {
+        let taken = self.with_leader_state(term, |c, lead| {
             if !lead {
                 return Err(Reply::later("not in authority", 1));
             }
             let settings = c.settings.clone();
-            let flavors = std::mem::take(&mut c.flavors);
+            let flavors = std::mem::take(&mut c.machine_types);
             let spec = resolve_spec(&job, &mut c.names, &flavors, &settings);
-            c.flavors = flavors;
+            c.machine_types = flavors;
             let spec = match spec {
                 Ok(spec) => spec,
                 Err(e) => {
@@ -117,14 +117,14 @@
             };
             if !c.has_memory_for(spec.team, spec.tasks) {
                 c.fairness_ledger.submission_refused(served::fairness_pair(&spec), Refusal::Memory);
-                return Err(Reply::later("more tasks than fit into memory", spread(15)));
+                return Err(Reply::later("more tasks than fit into memory", jittered_retry_s(15)));
             }
             // Types that the cloud doesn't have can't matter, and a long list of them would not
             // fit into the record.
             if let Some(berths) = &mut job.machine_types {
                 berths.sort_unstable();
                 berths.dedup();
-                berths.retain(|b| c.flavors.iter().any(|f| f.label == *b));
+                berths.retain(|b| c.machine_types.iter().any(|f| f.label == *b));
             }
             // Kept apart from the rest, however long the list is.
             let awaits = job.depends_on.take().unwrap_or_default();
@@ -166,14 +166,14 @@
                 if spec.spot { "spot" } else { "ordinary" },
                 job.class,
                 job.team,
-                spec.shape,
-                spec.precedence,
+                spec.kind,
+                spec.priority,
                 spec.tasks,
                 spec.cpus,
                 spec.image_gb,
                 spec.deadline_s,
             );
-            let id = c.add_submitted_job(spec, job, (open, dead), Self::wall_ms(), now);
+            let id = c.add_submitted_job(spec, job, (open, dead), Self::unix_time_ms(), now);
             if let Some(j) = c.jobs.get_mut(&id)
                 && j.pending_dependencies.is_empty()
                 && j.is_open()
@@ -183,15 +183,15 @@
             Ok(None)
         });
         Some(match taken? {
-            Ok(None) => Taking::In(uid),
-            Ok(Some(ask)) => Taking::Ask(uid, ask),
-            Err(refusal) => Taking::Refused(refusal),
+            Ok(None) => Admission::Admitted(uid),
+            Ok(Some(ask)) => Admission::NeedsLookup(uid, ask),
+            Err(refusal) => Admission::Refused(refusal),
         })
     }
 
     /// Answers once the job's record is safe.
-    pub(super) async fn accepted(&self, term: u64, uid: &str, status: u16) -> Reply {
-        match self.until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|_| lead)).await {
+    pub(super) async fn reply_when_recorded(&self, term: u64, uid: &str, status: u16) -> Reply {
+        match self.wait_until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|_| lead)).await {
             // Known after all, and over: not created by this request.
             Some(shown) if shown.status == "done" || shown.status == "aborted" => {
                 Reply::new(200, &shown)
@@ -207,11 +207,11 @@
             return Reply::error(404, "unknown job");
         }
         let Some(term) = self.term() else { return Reply::later("no leader", 1) };
-        if self.known(term, uid).is_none() {
+        if self.job_in_memory(term, uid).is_none() {
             return self.show(body).await;
         }
         let now = self.now();
-        let done = self.with_cell(term, |c, lead| {
+        let done = self.with_leader_state(term, |c, lead| {
             if lead && let Some(id) = c.jobs.id_of(uid) {
                 c.cancel(id, now);
             }
@@ -220,9 +220,9 @@
         if done != Some(true) {
             return Reply::later("not in authority", 1);
         }
-        self.kick();
+        self.notify_dirty();
         let over = |s: &JobStatus| s.status == "aborted" || s.status == "done";
-        let shown = self.until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|s| lead && over(s)));
+        let shown = self.wait_until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|s| lead && over(s)));
         match shown.await {
             Some(shown) => Reply::new(200, &shown),
             None => Reply::later("not recorded in time", 1),
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,8 +1,8 @@
 //! Connections to and from the other controllers: one kept link to each, and the answers to theirs.
 
 use crate::cluster::frames::{ANSWER, Header, Op, PING, read_frame};
-use crate::cluster::{IN_FLIGHT, Link, PeerView};
-use crate::listen::{ListenError, PATIENCE, listen};
+use crate::cluster::{MAX_IN_FLIGHT, PeerLink, PeerView};
+use crate::listen::{ListenError, BIND_TIMEOUT, listen};
 use crate::metrics;
 use crate::node::Node;
 use crate::reply::Reply;
@@ -14,13 +14,13 @@
 use zerocopy::byteorder::little_endian::U16;
 
 /// Keeps the connection to one peer and asks it twice a second who it is.
-async fn keep_link(node: Arc<Node>, link: Arc<Link>) {
+async fn keep_link(node: Arc<Node>, link: Arc<PeerLink>) {
     loop {
         if let Ok(Ok(stream)) =
             timeout(Duration::from_millis(1000), node.net.connect(&link.addr)).await
         {
             let (mut read, mut write) = tokio::io::split(stream);
-            let (tx, mut rx) = mpsc::channel::<Vec<u8>>(IN_FLIGHT);
+            let (tx, mut rx) = mpsc::channel::<Vec<u8>>(MAX_IN_FLIGHT);
             *link.queue.lock().expect("lock") = Some(tx.clone());
             let reader = async {
                 // A silent peer (cut off, or without power) is given up, so that a new
@@ -33,30 +33,30 @@
                     }
                     if h.id.get() == 0 {
                         let view = PeerView {
-                            heard_ms: node.now(),
+                            last_heard_ms: node.now(),
                             term: h.term.get(),
-                            leads: h.leads == 1,
+                            is_leader: h.is_leader == 1,
                             release: h.status.get().max(1),
-                            reaches: h.reaches.get(),
+                            reachable_mask: h.reachable_mask.get(),
                         };
                         let before = link.view().release;
                         *link.view.lock().expect("lock") = view;
                         if before != view.release {
-                            node.cluster.tell_release(&link.member, view.release);
+                            node.cluster.log_release(&link.member, view.release);
                         }
-                        node.heard_peer(link.ix, view);
+                        node.observe_peer(link.member_index, view);
                         if !body.is_empty() {
-                            node.hear_facts(link.ix, &body);
+                            node.merge_peer_connectivity(link.member_index, &body);
                         }
                         continue;
                     }
-                    let waiter = link.waiting.lock().expect("lock").remove(&h.id.get());
+                    let waiter = link.pending_replies.lock().expect("lock").remove(&h.id.get());
                     if let Some(waiter) = waiter {
                         let _ = waiter.send(Reply {
                             status: h.status.get(),
                             retry_after: h.retry_after.get(),
                             body,
-                            close: false,
+                            close_connection: false,
                         });
                     }
                 }
@@ -70,7 +70,7 @@
             };
             let pinger = async {
                 loop {
-                    if tx.try_send(Header::new(PING, 0, 0).frame(&[])).is_err() {
+                    if tx.try_send(Header::new(PING, 0, 0).encode_frame(&[])).is_err() {
                         break;
                     }
                     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -78,8 +78,8 @@
             };
             tokio::select! { _ = reader => {}, _ = writer => {}, _ = pinger => {} }
             *link.queue.lock().expect("lock") = None;
-            link.waiting.lock().expect("lock").clear();
-            link.view.lock().expect("lock").heard_ms = 0;
+            link.pending_replies.lock().expect("lock").clear();
+            link.view.lock().expect("lock").last_heard_ms = 0;
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -99,7 +99,7 @@
         let _ = timeout(Duration::from_secs(5), metrics::serve(&node, io)).await;
         return;
     }
-    let (tx, mut rx) = mpsc::channel::<Vec<u8>>(IN_FLIGHT);
+    let (tx, mut rx) = mpsc::channel::<Vec<u8>>(MAX_IN_FLIGHT);
     let writer = async {
         while let Some(frame) = rx.recv().await {
             if write.write_all(&frame).await.is_err() {
@@ -108,28 +108,28 @@
         }
     };
     let reader = async {
-        let slots = Arc::new(Semaphore::new(IN_FLIGHT));
+        let slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
         while let Ok(Some((h, body))) =
             timeout(Duration::from_secs(10), read_frame(&mut read)).await
         {
             if h.kind == PING {
-                let reaches = node.cluster.reaches(node.now());
-                let facts = node.tell_facts();
-                let pong = Header::pong(node.standing(), reaches, facts.len());
-                if tx.send(pong.frame(&facts)).await.is_err() {
+                let reaches = node.cluster.reachable_mask(node.now());
+                let facts = node.encode_connectivity();
+                let pong = Header::pong(node.leadership_status(), reaches, facts.len());
+                if tx.send(pong.encode_frame(&facts)).await.is_err() {
                     break;
                 }
                 continue;
             }
-            let Some(op) = Op::from(h.kind) else { break };
+            let Some(op) = Op::from_kind(h.kind) else { break };
             let Ok(slot) = slots.clone().try_acquire_owned() else { continue };
             let (node, tx) = (node.clone(), tx.clone());
             tokio::spawn(async move {
-                let reply = node.serve(op, &body, h.hops).await;
+                let reply = node.serve_or_forward(op, &body, h.hops).await;
                 let mut head = Header::new(ANSWER, h.id.get(), reply.body.len());
                 head.status = U16::new(reply.status);
                 head.retry_after = U16::new(reply.retry_after);
-                let _ = tx.send(head.frame(&reply.body)).await;
+                let _ = tx.send(head.encode_frame(&reply.body)).await;
                 drop(slot);
             });
         }
@@ -138,17 +138,17 @@
 }
 
 /// Keeps a link to every other controller.
-pub fn keep_links(node: &Arc<Node>) {
+pub fn maintain_links(node: &Arc<Node>) {
     for link in &node.cluster.links {
         tokio::spawn(keep_link(node.clone(), link.clone()));
     }
 }
 
 pub async fn run(node: Arc<Node>) -> Result<(), ListenError> {
-    let listener = listen(&node.settings.cluster_listen, "cluster_listen", PATIENCE).await?;
+    let listener = listen(&node.settings.cluster_listen, "cluster_listen", BIND_TIMEOUT).await?;
     // Kept until the process ends: nobody else can have it before.
-    node.take_seat(&node.settings.cluster_listen);
-    keep_links(&node);
+    node.set_listen_addr(&node.settings.cluster_listen);
+    maintain_links(&node);
     let most = Arc::new(Semaphore::new(32));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/controller/src/reply.rs
+++ b/crates/controller/src/reply.rs
@@ -10,17 +10,17 @@
     pub body: Vec<u8>,
     /// Another controller may know more: the connection is closed, so that the next try is
     /// balanced anew.
-    pub close: bool,
+    pub close_connection: bool,
 }
 
 impl Reply {
     pub fn new<T: serde::Serialize>(status: u16, value: &T) -> Reply {
-        Reply { status, retry_after: 0, body: encode(value), close: false }
+        Reply { status, retry_after: 0, body: encode(value), close_connection: false }
     }
 
     pub fn error(status: u16, why: &str) -> Reply {
         let body = std::collections::BTreeMap::from([("error", why)]);
-        Reply { status, retry_after: 0, body: encode(&body), close: false }
+        Reply { status, retry_after: 0, body: encode(&body), close_connection: false }
     }
 
     /// Nobody can answer truthfully now: come back in `s` seconds.
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,6 +1,6 @@
 //! The state service by its protocol: reads, transactions, leases.
 
-use crate::http::{Answer, CallError, Client};
+use crate::http::{HttpResponse, CallError, Client};
 use crate::net::Net;
 use copperhaven_core::records::{Change, Condition};
 use copperhaven_wire::encode;
@@ -26,19 +26,19 @@
 
 /// What became of a transaction.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommitOutcome {
     /// Applied, at this revision.
     Applied(u64),
     /// A condition failed; these keys have other versions.
     Conflict(Vec<String>),
     /// The lease of a put has run out.
-    NoLease,
+    LeaseExpired,
     /// Surely not executed.
-    Refused,
+    Unavailable,
     /// Called malformed, or larger than the service takes: it will never be executed as it is.
     Malformed,
     /// Not executed: more changes in a second than the service takes.
-    TooMany,
+    RateLimited,
     /// Perhaps executed, perhaps later.
     Unknown,
 }
@@ -88,7 +88,7 @@
 #[derive(Debug)]
 pub struct Listing<T> {
     pub rows: Vec<(String, T, u64)>,
-    pub bad: Vec<(String, u64)>,
+    pub unreadable: Vec<(String, u64)>,
 }
 
 pub struct Store {
@@ -104,10 +104,10 @@
 
 impl Store {
     pub fn new(net: Net, addr: String) -> Store {
-        Store { http: Client::within(net, 6), addr }
+        Store { http: Client::with_net(net, 6), addr }
     }
 
-    fn decode<T: DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
+    fn decode<T: DeserializeOwned>(answer: &HttpResponse) -> Result<T, StoreError> {
         answer.decode().ok_or(StoreError::Malformed)
     }
 
@@ -116,11 +116,11 @@
         &self,
         key: &str,
     ) -> Result<Option<(T, u64)>, StoreError> {
-        Ok(self.leased(key).await?.map(|(v, stamp, _)| (v, stamp)))
+        Ok(self.get_with_lease(key).await?.map(|(v, stamp, _)| (v, stamp)))
     }
 
     /// A key's value and version, and the lease that it hangs on.
-    pub async fn leased<T: DeserializeOwned>(
+    pub async fn get_with_lease<T: DeserializeOwned>(
         &self,
         key: &str,
     ) -> Result<Option<(T, u64, Option<u64>)>, StoreError> {
@@ -139,7 +139,7 @@
     }
 
     /// The first values with the prefix that can be read.
-    pub async fn some<T: DeserializeOwned>(
+    pub async fn first_values<T: DeserializeOwned>(
         &self,
         prefix: &str,
         limit: usize,
@@ -158,7 +158,7 @@
     }
 
     /// A page of the keys with the prefix, beginning after one, and whether there are more.
-    pub async fn names(
+    pub async fn list_keys(
         &self,
         prefix: &str,
         since: Option<&str>,
@@ -175,7 +175,7 @@
 
     /// Every key with the prefix. One that can't be read keeps none of the others from being read.
     pub async fn list<T: DeserializeOwned>(&self, prefix: &str) -> Result<Listing<T>, StoreError> {
-        let mut out = Listing { rows: vec![], bad: vec![] };
+        let mut out = Listing { rows: vec![], unreadable: vec![] };
         let mut last: Option<String> = None;
         loop {
             let since = last.map(|p| format!("&since={p}")).unwrap_or_default();
@@ -190,7 +190,7 @@
             for Item { path, v, stamp, .. } in page.pairs {
                 match v {
                     Lenient::Good(v) => out.rows.push((path, v, stamp)),
-                    Lenient::Bad(_) => out.bad.push((path, stamp)),
+                    Lenient::Bad(_) => out.unreadable.push((path, stamp)),
                 }
             }
             if end {
@@ -199,7 +199,7 @@
         }
     }
 
-    pub async fn commit(&self, when: &[Condition], apply: &[Change]) -> Outcome {
+    pub async fn commit(&self, when: &[Condition], apply: &[Change]) -> CommitOutcome {
         #[derive(Serialize)]
         struct Body<'a> {
             when: &'a [Condition],
@@ -217,29 +217,29 @@
         let body = encode(&Body { when, apply });
         match self.http.call(Method::POST, &self.addr, "/commit", Some(body), COMMIT).await {
             Ok(a) => match a.status {
-                200 => a.decode::<Rev>().map_or(Outcome::Unknown, |r| Outcome::Applied(r.rev)),
+                200 => a.decode::<Rev>().map_or(CommitOutcome::Unknown, |r| CommitOutcome::Applied(r.rev)),
                 409 => {
-                    a.decode::<Failed>().map_or(Outcome::Unknown, |f| Outcome::Conflict(f.failed))
+                    a.decode::<Failed>().map_or(CommitOutcome::Unknown, |f| CommitOutcome::Conflict(f.failed))
                 }
                 400 => {
                     let text = String::from_utf8_lossy(&a.body);
                     if text.contains("no such lease") {
-                        Outcome::NoLease
+                        CommitOutcome::LeaseExpired
                     } else {
                         tracing::error!("state service calls a transaction malformed: {text}");
-                        Outcome::Malformed
+                        CommitOutcome::Malformed
                     }
                 }
-                429 => Outcome::TooMany,
-                503 => Outcome::Refused,
-                _ => Outcome::Unknown,
+                429 => CommitOutcome::RateLimited,
+                503 => CommitOutcome::Unavailable,
+                _ => CommitOutcome::Unknown,
             },
-            Err(CallError::Refused(_)) => Outcome::Refused,
-            Err(CallError::Lost(_)) => Outcome::Unknown,
+            Err(CallError::NotSent(_)) => CommitOutcome::Unavailable,
+            Err(CallError::OutcomeUnknown(_)) => CommitOutcome::Unknown,
         }
     }
 
-    pub async fn lease(&self, ttl_ms: u64) -> Result<u64, StoreError> {
+    pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64, StoreError> {
         #[derive(Serialize)]
         #[serde(rename_all = "camelCase")]
         struct Body {
@@ -257,7 +257,7 @@
     }
 
     /// Renews a lease; false if it is no more.
-    pub async fn extend(&self, id: u64, limit: Duration) -> Result<bool, StoreError> {
+    pub async fn renew_lease(&self, id: u64, limit: Duration) -> Result<bool, StoreError> {
         let path = format!("/leases/{id}/extend");
         let none = std::collections::BTreeMap::<String, u64>::new();
         let answer = self.http.post(&self.addr, &path, &none, limit).await?;
@@ -268,7 +268,7 @@
         }
     }
 
-    pub async fn end_lease(&self, id: u64) {
+    pub async fn revoke_lease(&self, id: u64) {
         let path = format!("/leases/{id}");
         let _ = self.http.call(Method::DELETE, &self.addr, &path, None, READ).await;
     }
--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -104,8 +104,8 @@
 
 /// Runs a controller that has its own address to itself.
 fn run_node(ix: usize, node: Arc<Node>) {
-    node.take_seat(&format!("10.0.0.{ix}:1"));
-    peers::keep_links(&node);
+    node.set_listen_addr(&format!("10.0.0.{ix}:1"));
+    peers::maintain_links(&node);
     tokio::spawn(leadership::run(node));
 }
 
@@ -159,7 +159,7 @@
         let nodes: Vec<Arc<Node>> = (0..controllers)
             .map(|ix| {
                 let settings = settings(controllers, ix, &zones, habits.limit);
-                Arc::new(Node::within(net.at(Host::Controller(ix)), settings))
+                Arc::new(Node::with_net(net.at(Host::Controller(ix)), settings))
             })
             .collect();
         let world = Arc::new_cyclic(|me| {
@@ -207,7 +207,7 @@
     /// It is started again, with the same settings.
     pub fn back(&self, ix: usize) {
         let settings = settings(self.count(), ix, &self.zones, self.habits.limit);
-        let node = Arc::new(Node::within(self.net.at(Host::Controller(ix)), settings));
+        let node = Arc::new(Node::with_net(self.net.at(Host::Controller(ix)), settings));
         self.nodes.lock().expect("lock")[ix] = node.clone();
         self.down.lock().expect("lock").remove(&ix);
         run_node(ix, node);
@@ -254,7 +254,7 @@
         let (retry_after, close) = (header("retry-after"), header("connection") == "close");
         let status = response.status().as_u16();
         let body = response.into_body().into_vec().await.expect("a body");
-        Reply { status, retry_after: retry_after.parse().unwrap_or(0), body, close }
+        Reply { status, retry_after: retry_after.parse().unwrap_or(0), body, close_connection: close }
     }
 
     fn open_peer(self: &Arc<Self>, ix: usize) {
@@ -268,7 +268,7 @@
     /// Where the balancer sends a user's `n`th connection: to one that is up, if any is.
     pub fn balanced(&self, n: usize) -> usize {
         let all = 0..self.count();
-        let up: Vec<usize> = all.filter(|ix| !self.is_down(*ix) && self.node(*ix).up()).collect();
+        let up: Vec<usize> = all.filter(|ix| !self.is_down(*ix) && self.node(*ix).is_ready()).collect();
         if up.is_empty() { n % self.count() } else { up[n % up.len()] }
     }
 
@@ -278,7 +278,7 @@
     }
 
     fn leaders(&self) -> Vec<usize> {
-        (0..self.count()).filter(|ix| !self.is_down(*ix) && self.node(*ix).leads()).collect()
+        (0..self.count()).filter(|ix| !self.is_down(*ix) && self.node(*ix).is_leader()).collect()
     }
 
     /// Watches for so long; what came of it is added up.
@@ -319,8 +319,8 @@
         let left = self.checker.lock().expect("lock").look_for_idle(users.open(), &free, &held);
         let Some(uid) = left else { return };
         let says = self.leader().map(|ix| self.node(ix)).and_then(|node| {
-            let term = node.standing().0;
-            node.with_cell(term, |c, _| c.job(&uid).map(|(_, job)| format!("{job:?}")))
+            let term = node.leadership_status().0;
+            node.with_leader_state(term, |c, _| c.job(&uid).map(|(_, job)| format!("{job:?}")))
         });
         panic!("left waiting: {uid}, {says:?}");
     }
@@ -387,7 +387,7 @@
             self.users.lock().expect("lock").accepted.keys().cloned().collect();
         let mut unfinished = 0;
         for uid in &accepted {
-            let reply = self.node(0).ask(Op::Show, uid.as_bytes()).await;
+            let reply = self.node(0).handle_request(Op::Show, uid.as_bytes()).await;
             assert_ne!(reply.status, 404, "forgotten: {uid}");
             let shown = rmp_serde::from_slice::<JobStatus>(&reply.body).expect("a job");
             let (done, all) = self.checker.lock().expect("lock").done_of(uid);
@@ -403,7 +403,7 @@
         }
         assert!(accepted.len() > 40, "{} accepted", accepted.len());
         assert!(unfinished * 3 < accepted.len(), "{unfinished} of {} not done", accepted.len());
-        let none = self.node(0).ask(Op::Show, b"wk-999999999").await;
+        let none = self.node(0).handle_request(Op::Show, b"wk-999999999").await;
         assert_eq!(none.status, 404, "invented");
     }
 }
--- a/crates/controller/tests/world/network.rs
+++ b/crates/controller/tests/world/network.rs
@@ -1,6 +1,6 @@
 //! A network between hosts in one process: each link, in each direction, can be cut in its own way.
 
-use copperhaven::net::{Dial, Dialing, Net};
+use copperhaven::net::{Dial, DialFuture, Net};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex};
@@ -85,7 +85,7 @@
     pub fn at(self: &Arc<Self>, host: Host) -> Net {
         let life = Arc::new(watch::Sender::new(false));
         self.lives.lock().expect("lock").insert(host, life.clone());
-        Net::Other(Arc::new(Seen { net: self.clone(), host, life }))
+        Net::Custom(Arc::new(Seen { net: self.clone(), host, life }))
     }
 
     /// The process at this host ends: its connections do, and none is made any more.
@@ -147,7 +147,7 @@
 }
 
 impl Dial for Seen {
-    fn dial(&self, addr: &str) -> Dialing {
+    fn dial(&self, addr: &str) -> DialFuture {
         let (net, from, addr) = (self.net.clone(), self.host, addr.to_string());
         let own = self.life.clone();
         Box::pin(async move {
--- a/crates/controller/tests/world/returns.rs
+++ b/crates/controller/tests/world/returns.rs
@@ -174,13 +174,13 @@
         world.begin();
         let first = world.leader().expect("somebody leads by now");
         let settings = crate::settings(3, first, &world.zones, world.habits.limit);
-        let twin = Arc::new(Node::within(world.net.at(Host::Controller(9)), settings));
-        peers::keep_links(&twin);
+        let twin = Arc::new(Node::with_net(world.net.at(Host::Controller(9)), settings));
+        peers::maintain_links(&twin);
         tokio::spawn(leadership::run(twin.clone()));
         let watch = async |seconds: u32, out: &mut Outcome| {
             for _ in 0..seconds * 20 {
                 world.watch(Duration::from_millis(50), out).await;
-                assert!(!(twin.leads() && world.leader().is_some()), "two with authority");
+                assert!(!(twin.is_leader() && world.leader().is_some()), "two with authority");
             }
         };
         watch(10, &mut out).await;
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -398,7 +398,7 @@
     for attempt in n.. {
         sleep(Duration::from_secs(5)).await;
         let up: Vec<usize> =
-            (0..world.count()).filter(|ix| !world.is_down(*ix) && world.node(*ix).up()).collect();
+            (0..world.count()).filter(|ix| !world.is_down(*ix) && world.node(*ix).is_ready()).collect();
         if up.is_empty() {
             continue;
         }
--- a/crates/core/benches/leader.rs
+++ b/crates/core/benches/leader.rs
@@ -8,7 +8,7 @@
 use copperhaven_core::for_tests::{START_MS, TEAMS_LINE, TERM, body, large_machine_type, report, sample_settings_with};
 use copperhaven_core::records::{Condition, JobRecord, MachineRecord, AssignmentRecord};
 use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::state::fleet::Flavor;
+use copperhaven_core::state::fleet::MachineType;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
@@ -66,7 +66,7 @@
     let settings = Arc::new(sample_settings_with(&[(TEAMS_LINE, &teams)]));
     let mut names = Names::new(&settings);
     names.types.intern("large");
-    let flavors = vec![Flavor::from_wire(&large_machine_type(&["north", "south"]), &mut names)];
+    let flavors = vec![MachineType::from_wire(&large_machine_type(&["north", "south"]), &mut names)];
     let leader = Condition { path: "c/leader".into(), revision: 5 };
     let mut c = LeaderState::new(settings, TERM, leader, START_MS, names, flavors);
     c.fleet.provided_machines = Some(0);
@@ -74,7 +74,7 @@
 }
 
 fn insert(c: &mut LeaderState, b: JobBody) -> JobId {
-    let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+    let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
     let spec = resolve_spec(&b, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, b, START_MS, START_MS as i64);
     let ver = c.mark_dirty(RecordKey::Job(id));
--- a/crates/core/examples/flood.rs
+++ b/crates/core/examples/flood.rs
@@ -10,7 +10,7 @@
 use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, body, large_machine_type, report, sample_settings_with};
 use copperhaven_core::records::Condition;
 use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::state::fleet::Flavor;
+use copperhaven_core::state::fleet::MachineType;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::Names;
 use copperhaven_core::workers::reports::ReportOutcome;
@@ -95,7 +95,7 @@
         let settings = Arc::new(settings(machines));
         let mut names = Names::new(&settings);
         names.types.intern("large");
-        let flavors = vec![Flavor::from_wire(&large_machine_type(&ZONES), &mut names)];
+        let flavors = vec![MachineType::from_wire(&large_machine_type(&ZONES), &mut names)];
         let leader = Condition { path: "c/leader".into(), revision: 50 };
         let mut cell = LeaderState::new(settings, 7, leader, 100_000, names, flavors);
         cell.fleet.provided_machines = Some(0);
@@ -142,7 +142,7 @@
         let (now, cell) = (self.now, &mut self.cell);
         self.spent.on("submission", || {
             let settings = cell.settings.clone();
-            let flavors = cell.flavors.clone();
+            let flavors = cell.machine_types.clone();
             let spec = resolve_spec(&b, &mut cell.names, &flavors, &settings).expect("valid");
             if !cell.has_memory_for(spec.team, spec.tasks) {
                 return;
--- a/crates/core/src/admission/index.rs
+++ b/crates/core/src/admission/index.rs
@@ -96,7 +96,7 @@
 impl LeaderState {
     /// The share of a machine of this type that one task takes.
     pub fn machine_share(&self, spec: &JobSpec, kind: TypeId) -> f64 {
-        let f = &self.flavors[kind.index()];
+        let f = &self.machine_types[kind.index()];
         let part = |a: f64, b: f64| if a <= 0.0 { 0.0 } else { a / b.max(1e-9) };
         part(spec.cpus, f.cpus)
             .max(part(spec.mem_gb, f.mem_gb))
@@ -143,7 +143,7 @@
 
     /// Tasks of a job that were routed.
     pub fn add_routed(&self, all: &mut PoolLoad, spec: &JobSpec, routed: &[u32]) {
-        let kinds = self.flavors.len();
+        let kinds = self.machine_types.len();
         for (p, n) in routed.iter().enumerate().filter(|(_, n)| **n > 0) {
             all.load[p] += f64::from(*n) * self.machine_share(spec, TypeId::from(p % kinds));
         }
@@ -153,7 +153,7 @@
         let mut out = Vec::new();
         for kind in &spec.machine_types {
             let share = self.machine_share(spec, *kind);
-            for zone in &self.flavors[kind.index()].zones {
+            for zone in &self.machine_types[kind.index()].zones {
                 if spec.zone.is_some_and(|z| z != *zone) {
                     continue;
                 }
--- a/crates/core/src/admission/shape.rs
+++ b/crates/core/src/admission/shape.rs
@@ -1,7 +1,7 @@
 //! Whether a submission can ever run (protocol, status 422).
 
 use crate::settings::Settings;
-use crate::state::fleet::Flavor;
+use crate::state::fleet::MachineType;
 use crate::state::job::{EPS, JobSpec};
 use crate::state::names::*;
 use copperhaven_wire::jobs::{JobBody, JobKind};
@@ -15,7 +15,7 @@
 pub fn resolve_spec(
     job: &JobBody,
     names: &mut Names,
-    flavors: &[Flavor],
+    flavors: &[MachineType],
     settings: &Settings,
 ) -> Result<JobSpec, Never> {
     let never = |why: String| Err(Never(why));
@@ -52,8 +52,8 @@
         uid: job.uid.as_str().into(),
         class: names.classes.intern(&job.class),
         team,
-        shape: job.kind,
-        precedence: job.priority,
+        kind: job.kind,
+        priority: job.priority,
         tasks: job.tasks as u32,
         cpus: job.cpus,
         gpus: job.gpus,
--- a/crates/core/src/boots.rs
+++ b/crates/core/src/boots.rs
@@ -48,7 +48,7 @@
     pub fn overdue_boots(&self, now: u64) -> (Vec<&str>, HashSet<(TypeId, ZoneId)>) {
         let (mut names, mut places) = (vec![], HashSet::new());
         for (name, b) in &self.fleet.booting {
-            let nominal = self.flavors[b.machine_type.index()].boot_s;
+            let nominal = self.machine_types[b.machine_type.index()].boot_s;
             let due = b.requested_at + self.fleet.boot_deadline_ms(b.machine_type, b.zone, nominal, now);
             // To a new leader the list shows machines that are up and have not reported to it yet.
             let due = due.max(b.known_since + self.report_timeout_ms());
@@ -69,7 +69,7 @@
     pub fn viable_boots(&self, now: u64) -> Vec<&Booting> {
         let (overdue, late) = self.overdue_boots(now);
         let elsewhere = |b: &Booting| {
-            let zones = &self.flavors[b.machine_type.index()].zones;
+            let zones = &self.machine_types[b.machine_type.index()].zones;
             let sound =
                 |z: &&ZoneId| !late.contains(&(b.machine_type, **z)) && !self.fleet.silent_zones.contains_key(*z);
             zones.iter().any(|z| sound(&z))
@@ -101,9 +101,9 @@
             .map(|(zone, (_, tried))| (*zone, *tried))
             .find(|(_, tried)| now > tried + PROBE_MS)?;
         let cheapest =
-            |a: &usize, b: &usize| self.flavors[*a].hourly.total_cmp(&self.flavors[*b].hourly);
-        let there = |i: &usize| self.flavors[*i].zones.contains(&zone);
-        let kind = (0..self.flavors.len()).filter(there).min_by(cheapest)?;
+            |a: &usize, b: &usize| self.machine_types[*a].hourly.total_cmp(&self.machine_types[*b].hourly);
+        let there = |i: &usize| self.machine_types[*i].zones.contains(&zone);
+        let kind = (0..self.machine_types.len()).filter(there).min_by(cheapest)?;
         if let Some((_, tried)) = self.fleet.silent_zones.get_mut(&zone) {
             *tried = now;
         }
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -18,7 +18,7 @@
     /// or guarantee presses, fewer where the class's objective leaves time for more than one
     /// round.
     fn wanted(&self, spec: &JobSpec, waiting: u32, guaranteed: bool) -> u32 {
-        if spec.shape != JobKind::Array || guaranteed || spec.deadline_s.is_some() {
+        if spec.kind != JobKind::Array || guaranteed || spec.deadline_s.is_some() {
             return waiting;
         }
         let class = self.names.classes.name(spec.class.index());
@@ -57,12 +57,12 @@
         for s in &mut slots {
             // A machine held for a job gets free for it once the tasks there have stopped.
             if s.reserved.is_some() {
-                let f = &self.flavors[s.kind.index()];
+                let f = &self.machine_types[s.kind.index()];
                 (s.cpus, s.gpus, s.mem_gb) = (f.cpus, f.gpus, f.mem_gb);
             }
         }
         let fresh = |(kind, zone, spot): RentalKind, mid: u32| {
-            let f = &self.flavors[kind.index()];
+            let f = &self.machine_types[kind.index()];
             FreeCapacity {
                 machine_id: MachineId(mid),
                 kind,
@@ -77,7 +77,7 @@
             }
         };
         // A place that a running task is about to leave comes sooner than a machine that boots.
-        let boot = self.flavors.iter().map(|f| f.boot_s).fold(f64::MAX, f64::min);
+        let boot = self.machine_types.iter().map(|f| f.boot_s).fold(f64::MAX, f64::min);
         for s in &mut slots {
             let Some(m) = self.machines.get(&s.machine_id).filter(|_| s.reserved.is_none()) else {
                 continue;
@@ -86,7 +86,7 @@
                 let Some(job) = self.jobs.get(id) else { continue };
                 let run = self.run_times.expected_run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
                 let ran = now.saturating_sub(e.running_since) as f64 / 1000.0;
-                let running = e.observed == ObservedState::Running && job.spec.shape != JobKind::Service;
+                let running = e.observed == ObservedState::Running && job.spec.kind != JobKind::Service;
                 if e.stop_requested.is_some() || (running && run - ran < boot) {
                     s.release(&job.spec);
                 }
@@ -130,7 +130,7 @@
             .filter_map(|id| {
                 let team = self.jobs.get(&id)?.spec.team;
                 let (team_need, class_need) = (false, DeficitLevel::NONE);
-                Some(RankedJob { id, guaranteed: false, team, team_underserved: team_need, class_need })
+                Some(RankedJob { id, guaranteed: false, team, team_underserved: team_need, class_deficit: class_need })
             })
             .collect();
         for r in self.ranked_jobs(&needs, now).into_iter().chain(soon) {
@@ -147,23 +147,23 @@
             };
             // By need work of any precedence may go before: then nothing makes way for certain, and a
             // machine would only wait until the team's limit lets it be used.
-            let last = if needs.has_any() { 3 } else { spec.precedence as usize };
+            let last = if needs.has_any() { 3 } else { spec.priority as usize };
             let above = &mut used[spec.team.index()][..=last];
             let cpus = above.iter().map(|u| u.cpus).sum();
             let cards = above.iter().map(|u| u.gpus).sum();
             let quota =
                 room(team.cpus_max, cpus, spec.cpus).min(room(team.gpus_max, cards, spec.gpus))
                     as u32;
-            let failing = job.is_failing() && spec.shape != JobKind::Gang;
+            let failing = job.is_failing() && spec.kind != JobKind::Gang;
             if failing && !job.placement_counts.is_empty() {
                 continue;
             }
             let waiting = if failing { 1 } else { job.waiting.len() };
             let mut n = self.wanted(spec, waiting, r.guaranteed).min(quota);
-            if spec.shape == JobKind::Gang && n < waiting {
+            if spec.kind == JobKind::Gang && n < waiting {
                 continue;
             }
-            let u = &mut above[spec.precedence as usize];
+            let u = &mut above[spec.priority as usize];
             u.cpus += spec.cpus * f64::from(n);
             u.gpus += spec.gpus * f64::from(n);
             // The fullest that fits, so that whole machines stay free; what is kept for the job before all.
@@ -202,7 +202,7 @@
             }
             let mut best: Option<(f64, usize, RentalKind, u32, u32)> = None;
             for kind in &spec.machine_types {
-                let f = &self.flavors[kind.index()];
+                let f = &self.machine_types[kind.index()];
                 for zone in &f.zones {
                     if spec.zone.is_some_and(|z| z != *zone) || dark[zone.index()] {
                         continue;
--- a/crates/core/src/fleet/returns.rs
+++ b/crates/core/src/fleet/returns.rs
@@ -10,7 +10,7 @@
     /// their lease, or idle for longer than it would take to get them again.
     pub fn plan_returns(&mut self, now: u64) {
         for (name, b) in &self.fleet.booting {
-            let boot = self.flavors[b.machine_type.index()].boot_s;
+            let boot = self.machine_types[b.machine_type.index()].boot_s;
             if now > b.requested_at + (boot * 5000.0) as u64 + 20_000 {
                 self.fleet.pending_returns.insert(name.clone(), "it never came up");
             }
@@ -27,7 +27,7 @@
             } else if m.reclaim_at.is_some() {
                 back.push((*mid, "the cloud takes it"));
             } else {
-                let keep = self.settings.tuning.idle_boots * self.flavors[m.machine_type.index()].boot_s;
+                let keep = self.settings.tuning.idle_boots * self.machine_types[m.machine_type.index()].boot_s;
                 let unreserved = m.reserved.is_none_or(|(_, until)| now >= until);
                 // The first minute is paid for in any case.
                 let unreserved = unreserved && !self.fleet.retained_machines.contains(mid);
--- a/crates/core/src/fleet/standing.rs
+++ b/crates/core/src/fleet/standing.rs
@@ -22,7 +22,7 @@
         if self.fleet.provided_machines.is_none_or(|n| n == 0) {
             return false;
         }
-        let quickest = self.flavors.iter().map(|f| f.boot_s).fold(f64::MAX, f64::min);
+        let quickest = self.machine_types.iter().map(|f| f.boot_s).fold(f64::MAX, f64::min);
         self.start_span().is_some_and(|s| quickest > s)
     }
 
@@ -40,7 +40,7 @@
         let asked = self.fleet.rentals.values().filter(|r| !r.resolved);
         let coming: f64 = coming
             .chain(asked.map(|r| (r.kind.0, r.number)))
-            .map(|(kind, n)| self.flavors[kind.index()].cpus * f64::from(n))
+            .map(|(kind, n)| self.machine_types[kind.index()].cpus * f64::from(n))
             .sum();
         want - up - coming
     }
@@ -54,7 +54,7 @@
         let dark = self.silent_zones();
         let (_, late) = self.overdue_boots(now);
         let mut best: Option<(f64, RentalKind, u32)> = None;
-        for (i, f) in self.flavors.iter().enumerate() {
+        for (i, f) in self.machine_types.iter().enumerate() {
             let kind = TypeId::from(i);
             if f.cpus <= 0.0 {
                 continue;
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -58,7 +58,7 @@
         let mut body = crate::for_tests::body("wk-1");
         (body.class, body.cpus) = ("study".into(), 0.25);
         edit(&mut body);
-        let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+        let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
         let spec = crate::admission::shape::resolve_spec(&body, &mut c.names, &flavors, &settings);
         c.insert_job(spec.expect("valid"), body, 0, 100_000 - waited as i64);
         for zone in [ZoneId(0), ZoneId(1)] {
--- a/crates/core/src/for_tests.rs
+++ b/crates/core/src/for_tests.rs
@@ -4,7 +4,7 @@
 use crate::records::{Change, Condition, JobRecord};
 use crate::settings::Settings;
 use crate::state::cell::LeaderState;
-use crate::state::fleet::Flavor;
+use crate::state::fleet::MachineType;
 use crate::state::ledger::RecordKey;
 use crate::state::names::*;
 use crate::workers::reports::ReportOutcome;
@@ -35,7 +35,7 @@
     let mut body = body(uid);
     edit(&mut body);
     let settings = c.settings.clone();
-    let flavors = c.flavors.clone();
+    let flavors = c.machine_types.clone();
     let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, body, START_MS, START_MS as i64);
     let ver = c.mark_dirty(RecordKey::Job(id));
@@ -92,7 +92,7 @@
     let mut body = body(uid);
     edit(&mut body);
     let mut c = cell();
-    let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+    let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
     resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid")
 }
 
@@ -158,7 +158,7 @@
     toml::from_str(SAMPLE_SETTINGS).expect("the sample parses")
 }
 
-pub fn sample_machine_types(names: &mut Names) -> Vec<Flavor> {
+pub fn sample_machine_types(names: &mut Names) -> Vec<MachineType> {
     let make = |label: &str, cpus: f64, hourly: f64| WireMachineType {
         label: label.into(),
         cpus,
@@ -175,7 +175,7 @@
         .iter()
         .map(|w| {
             names.types.intern(&w.label);
-            Flavor::from_wire(w, names)
+            MachineType::from_wire(w, names)
         })
         .collect()
 }
--- a/crates/core/src/pipelines/awaits.rs
+++ b/crates/core/src/pipelines/awaits.rs
@@ -59,7 +59,7 @@
         let saved = |v: Option<u64>| v.is_some_and(|v| self.is_saved(&RecordKey::Job(id), v));
         match () {
             () if !self.is_accepted(id, job) || job.outcome_unknown => DependencyState::Unrecorded,
-            () if job.spec.shape == JobKind::Service => DependencyState::Service,
+            () if job.spec.kind == JobKind::Service => DependencyState::Service,
             () if saved(job.cancel_ver) => DependencyState::Cancelled,
             () if job.is_cancelled() => DependencyState::Open,
             () if saved(job.final_ver) => DependencyState::Done,
@@ -178,8 +178,8 @@
                 }
                 Some((_, job)) => {
                     let sooner = due.is_some_and(|d| job.effective_deadline.is_none_or(|own| d < own));
-                    if sooner || spec.precedence < job.spec.precedence {
-                        self.dependencies.pending_raises.push_back((uid, spec.precedence, due));
+                    if sooner || spec.priority < job.spec.priority {
+                        self.dependencies.pending_raises.push_back((uid, spec.priority, due));
                     }
                 }
             }
--- a/crates/core/src/pipelines/follow.rs
+++ b/crates/core/src/pipelines/follow.rs
@@ -49,9 +49,9 @@
             steps -= 1;
             let Some(id) = self.jobs.id_of(&uid) else { continue };
             let Some(job) = self.jobs.get(&id).filter(|j| j.is_open()) else { continue };
-            let precedence = precedence.min(job.spec.precedence);
+            let precedence = precedence.min(job.spec.priority);
             let due = [due, job.effective_deadline].into_iter().flatten().min();
-            self.set_standing(id, precedence, due);
+            self.set_effective_priority_and_deadline(id, precedence, due);
         }
         while steps > 0
             && let Some(uid) = self.dependencies.pending_reviews.pop_first()
@@ -64,13 +64,13 @@
             let after = self.dependencies.dependents.get(&uid).map_or(&[][..], |a| a);
             for next in after.iter().filter_map(|n| Some((*n, self.jobs.get(n)?))) {
                 if next.1.is_open() {
-                    precedence = precedence.min(next.1.spec.precedence);
+                    precedence = precedence.min(next.1.spec.priority);
                     let latest = next.1.effective_deadline.map(|d| d - self.expected_run_ms(next.0));
                     due = [due, latest].into_iter().flatten().min();
                 }
             }
             steps = steps.saturating_sub(1 + after.len());
-            self.set_standing(id, precedence, due);
+            self.set_effective_priority_and_deadline(id, precedence, due);
         }
     }
 
@@ -90,16 +90,16 @@
 
     /// A job's priority and urgency, its own or from those that need it; what changes goes on to
     /// the jobs that it needs.
-    fn set_standing(&mut self, id: JobId, precedence: Priority, due: Option<i64>) {
+    fn set_effective_priority_and_deadline(&mut self, id: JobId, precedence: Priority, due: Option<i64>) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if (job.spec.precedence, job.effective_deadline) == (precedence, due) {
+        if (job.spec.priority, job.effective_deadline) == (precedence, due) {
             return;
         }
         let (lower, later) = (
-            precedence > job.spec.precedence,
+            precedence > job.spec.priority,
             job.effective_deadline.is_some_and(|was| due.is_none_or(|d| d > was)),
         );
-        self.set_precedence(id, precedence);
+        self.set_priority(id, precedence);
         let before = due.map(|d| d - self.expected_run_ms(id));
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.effective_deadline = due;
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -25,7 +25,7 @@
     };
     let mut body = crate::for_tests::body(uid);
     edit(&mut body);
-    let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+    let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
     let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
     c.add_submitted_job(spec, body, names, T0, T0)
 }
@@ -291,7 +291,7 @@
         };
         rounds(&mut c);
         let first = c.jobs.id_of("wk-0").expect("known");
-        assert_eq!(c.jobs[&first].spec.precedence, Priority::High);
+        assert_eq!(c.jobs[&first].spec.priority, Priority::High);
         assert!(c.jobs[&first].effective_deadline.is_some());
         c.cancel(first, T0);
         let batch = c.next_batch(16).expect("its record");
@@ -365,7 +365,7 @@
     commit(&mut c);
     let standing = |c: &LeaderState, uid: &str| {
         let j = &c.jobs[&c.jobs.id_of(uid).expect("known")];
-        (j.spec.precedence, j.effective_deadline.map(|d| d - T0 as i64))
+        (j.spec.priority, j.effective_deadline.map(|d| d - T0 as i64))
     };
     // Each has to be done a run of 20 s before the next.
     assert_eq!(standing(&c, "wk-4"), (Priority::High, Some(90_000)));
--- a/crates/core/src/placement/limit_tests.rs
+++ b/crates/core/src/placement/limit_tests.rs
@@ -19,9 +19,9 @@
         for ((id, _), e) in &m.assignments {
             let v = &c.jobs[id].spec;
             let lower = v.team == spec.team
-                && v.precedence > spec.precedence
+                && v.priority > spec.priority
                 && (guaranteed || !c.jobs[id].guaranteed);
-            if lower && v.shape != JobKind::Gang && e.stop_requested.is_none() {
+            if lower && v.kind != JobKind::Gang && e.stop_requested.is_none() {
                 all.push((c.lost_s(v, e, now), v.cpus));
             }
         }
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/limits.rs
@@ -25,7 +25,7 @@
     /// gets free.
     pub(crate) fn reserve_team_limit(&mut self, id: JobId, spec: &JobSpec) {
         let n = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
-        let n = if spec.shape == JobKind::Array { n.min(1.0) } else { n };
+        let n = if spec.kind == JobKind::Array { n.min(1.0) } else { n };
         self.team_usage.hold(spec, n);
     }
 
@@ -35,7 +35,7 @@
         let team = &self.settings.deployment.teams[spec.team.index()];
         let mut used = self.team_usage.held(spec.team);
         let split = self.team_usage.usage_by_priority(spec.team);
-        let above = &split.non_gang[..=spec.precedence as usize];
+        let above = &split.non_gang[..=spec.priority as usize];
         for u in above.iter().chain(&split.gang) {
             used.cpus += u.cpus;
             used.gpus += u.gpus;
@@ -47,7 +47,7 @@
     /// Does the team have work of lower priority on machines, gangs apart? Only that is stopped for
     /// its limit.
     pub(crate) fn has_lower_priority_work(&self, spec: &JobSpec) -> bool {
-        let lower = &self.team_usage.usage_by_priority(spec.team).non_gang[spec.precedence as usize + 1..];
+        let lower = &self.team_usage.usage_by_priority(spec.team).non_gang[spec.priority as usize + 1..];
         lower.iter().any(|u| u.cpus > EPS || u.gpus > EPS)
     }
 
@@ -65,7 +65,7 @@
         for (mid, m) in &self.machines {
             for ((id, task), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                if job.spec.team == team && job.spec.shape != JobKind::Gang && e.stop_requested.is_none() {
+                if job.spec.team == team && job.spec.kind != JobKind::Gang && e.stop_requested.is_none() {
                     let lost_s = self.lost_s(&job.spec, e, now);
                     let at = (*mid, *id, *task, e.attempt);
                     StoppableGroup::add(
@@ -97,13 +97,13 @@
             return Some(vec![]);
         }
         self.gather_stoppable(spec.team, now);
-        let own = self.needs.class_deficit(served::fairness_pair(spec));
-        let LeaderState { stoppable, needs, machines, .. } = self;
+        let own = self.deficits.class_deficit(served::fairness_pair(spec));
+        let LeaderState { stoppable, deficits: needs, machines, .. } = self;
         let groups = stoppable[spec.team.index()].iter_mut().flatten();
         // Nobody makes room who is as much in need as the one that wants it, or is served before it: what that one runs
         // within the guarantee would take the room again, over and over, and neither would ever be done.
         let lower = |g: &&mut StoppableGroup| {
-            g.precedence > spec.precedence
+            g.priority > spec.priority
                 && (guaranteed || !g.guaranteed)
                 && !needs.class_deficit(g.pair).is_protected_from(own)
         };
@@ -141,7 +141,7 @@
     pub(crate) fn preempt_for_team_limit(&mut self, id: JobId, spec: &JobSpec, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let team = &self.settings.deployment.teams[spec.team.index()];
-        let n = if spec.shape == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
+        let n = if spec.kind == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
         let (used, held) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
         let stopping = self.team_usage.stopping(spec.team);
         let lack = Usage {
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -19,7 +19,7 @@
     /// Its team is served too little and has less than its share; how urgently its class is in
     /// need within the team.
     pub team_underserved: bool,
-    pub class_need: DeficitLevel,
+    pub class_deficit: DeficitLevel,
 }
 
 impl RankedJob {
@@ -27,7 +27,7 @@
     /// that is in need while this one is not, and a class that is as much in need.
     pub(crate) fn is_barred_from_preempting(&self, v: &RankedJob) -> bool {
         let team = v.team != self.team && v.team_underserved && !self.team_underserved;
-        team || v.class_need.is_protected_from(self.class_need)
+        team || v.class_deficit.is_protected_from(self.class_deficit)
     }
 }
 
@@ -81,7 +81,7 @@
             let pair = served::fairness_pair(&job.spec);
             let first = self.must_begin(job, now) && large.get(&pair).is_none_or(Use::has_room);
             let (turn, work) = if first { (0, 0) } else { self.turn(job, needs.class_deficit(pair), now) };
-            let rank = (!within, team.is_guest(), job.spec.precedence, turn, work, *at, *id);
+            let rank = (!within, team.is_guest(), job.spec.priority, turn, work, *at, *id);
             let cpus = job.spec.cpus * f64::from(job.waiting.len());
             places.push(QueueEntry { team_class: pair, rank, cpus, item: within });
         }
@@ -91,7 +91,7 @@
             guaranteed: p.item,
             team: TeamId(p.team_class.0.0),
             team_underserved: needs.is_team_underserved(p.team_class.0),
-            class_need: needs.class_deficit(p.team_class),
+            class_deficit: needs.class_deficit(p.team_class),
         };
         places.into_iter().map(ranked).collect()
     }
@@ -157,7 +157,7 @@
         if age > far * span {
             return (0, 0);
         }
-        let late = spec.shape == JobKind::Array && age + run > span;
+        let late = spec.kind == JobKind::Array && age + run > span;
         (if late { 2 } else { 1 }, self.work_ms(job))
     }
 }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -61,13 +61,13 @@
 
     pub(crate) fn has_no_victims(&self, r: RankedJob, spec: &JobSpec, need: u32) -> bool {
         self.demands_without_victims.iter().any(|(other, a, least)| {
-            let gang = |s: &JobSpec| s.shape == JobKind::Gang;
+            let gang = |s: &JobSpec| s.kind == JobKind::Gang;
             Self::covers(a, spec)
-                && a.precedence <= spec.precedence
+                && a.priority <= spec.priority
                 // An array takes what it gets; a gang found too little for all of it.
                 && (!gang(a) || (gang(spec) && *least <= need))
                 && other.team_underserved >= r.team_underserved
-                && other.class_need <= r.class_need
+                && other.class_deficit <= r.class_deficit
                 && (!r.guaranteed || (other.guaranteed && a.team == spec.team))
         })
     }
@@ -106,8 +106,8 @@
         let unknown = self.unknown_usage();
         self.team_usage.release_held(unknown);
         self.advance_fairness(now);
-        self.needs = self.compute_deficits();
-        let ranked = self.ranked_jobs(&self.needs, now);
+        self.deficits = self.compute_deficits();
+        let ranked = self.ranked_jobs(&self.deficits, now);
         for r in &ranked {
             if let Some(job) = self.jobs.get_mut(&r.id) {
                 job.guaranteed = r.guaranteed;
@@ -135,7 +135,7 @@
                 }
                 continue;
             }
-            if job.is_failing() && job.spec.shape != JobKind::Gang && !job.placement_counts.is_empty() {
+            if job.is_failing() && job.spec.kind != JobKind::Gang && !job.placement_counts.is_empty() {
                 continue;
             }
             let spec = job.spec.clone();
@@ -146,8 +146,8 @@
                 // Before its turn nobody keeps a machine for it but earlier passes.
                 && !held.contains_key(&r.id);
             let skip = plain && full.is_unplaceable(&spec);
-            let gang = spec.shape == JobKind::Gang;
-            let wait = match spec.shape {
+            let gang = spec.kind == JobKind::Gang;
+            let wait = match spec.kind {
                 _ if skip && self.team_headroom(&spec) == 0 => WaitReason::TeamLimit,
                 JobKind::Gang => {
                     let short = skip || (plain && full.lacks_room(&spec, need));
@@ -208,14 +208,14 @@
                     if let Some(job) = self.jobs.get_mut(&r.id) {
                         job.next_preemption_at = now + if found { AGAIN_MS } else { LOOK_MS };
                     }
-                    let patient = spec.shape == JobKind::Array && !self.can_array_preempt(*r, now);
+                    let patient = spec.kind == JobKind::Array && !self.can_array_preempt(*r, now);
                     if !found && plain && !patient {
                         full.demands_without_victims.push((*r, spec.clone(), need));
                     }
                     found
                 };
                 if found {
-                    if spec.shape != JobKind::Array {
+                    if spec.kind != JobKind::Array {
                         self.reserve_team_limit(r.id, &spec);
                     }
                     if let Some(job) = self.jobs.get_mut(&r.id) {
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -62,12 +62,12 @@
         let (spec, r) = (self.spec, &self.r);
         let guest = |s: &JobSpec| self.cell.settings.deployment.teams[s.team.index()].is_guest();
         // Guests take what is left, and stop each other's work only.
-        let lower = v.precedence > spec.precedence && (!guest(spec) || guest(v));
+        let lower = v.priority > spec.priority && (!guest(spec) || guest(v));
         let other = self.order.get(&id);
         let beyond = r.guaranteed
             && v.team != spec.team
             && !other.is_none_or(|v| v.guaranteed)
-            && v.precedence >= spec.precedence;
+            && v.priority >= spec.priority;
         let part = if lower { MAX_LOST_SHARE_HIGHER_PRIORITY } else { MAX_LOST_SHARE_EQUAL_PRIORITY };
         (lower || beyond)
             && (!self.patient || guest(v))
@@ -82,7 +82,7 @@
     /// While somebody is served too little, whoever's turn it is waits for what runs out soon: small
     /// tasks would take every place that gets free, and it none.
     fn waits(&self) -> bool {
-        self.short && (self.spec.shape == JobKind::Gang || self.r.class_need.is_underserved())
+        self.short && (self.spec.kind == JobKind::Gang || self.r.class_deficit.is_underserved())
     }
 
     /// Could a task of it fit on this machine if all went that it could ask for at most?
@@ -97,7 +97,7 @@
             };
             last = Some((*id, stance));
             let Some(s) = stance else { return false };
-            if e.stop_requested.is_some() || s.may || (waits && s.spec.shape == JobKind::Array) {
+            if e.stop_requested.is_some() || s.may || (waits && s.spec.kind == JobKind::Array) {
                 free.release(s.spec);
             }
         }
@@ -118,10 +118,10 @@
         now: u64,
     ) -> bool {
         // Until then an array within its guarantee stops guests only.
-        let patient = spec.shape == JobKind::Array && !self.can_array_preempt(r, now);
+        let patient = spec.kind == JobKind::Array && !self.can_array_preempt(r, now);
         // One in need has machines kept for it until smaller tasks there have run out: they would
         // take each place that gets free before it is large enough. Not all machines at once.
-        let needy = spec.shape == JobKind::Array && r.class_need.is_underserved();
+        let needy = spec.kind == JobKind::Array && r.class_deficit.is_underserved();
         let kept = || slots.iter().filter(|s| s.reserved.is_some()).count();
         let most = if needy { slots.len().div_ceil(KEPT).saturating_sub(kept()) } else { 0 };
         let collects = needy && most > 0;
@@ -130,12 +130,12 @@
         }
         let Some(job) = self.jobs.get(&r.id) else { return false };
         let mut need = job.waiting.len();
-        if spec.shape != JobKind::Gang {
+        if spec.kind != JobKind::Gang {
             need = need.min(self.team_headroom(spec)).min(32);
         }
         let held: &[MachineId] = held.get(&r.id).map_or(&[], Vec::as_slice);
         // What the machines already held for it will give once they are free.
-        let short = self.needs.has_any();
+        let short = self.deficits.has_any();
         for mid in held {
             let m = &self.machines[mid];
             let mut free = FreeCapacity::from_machine(*mid, m);
@@ -175,7 +175,7 @@
             plans.truncate(most);
         }
         let total: u32 = plans.iter().map(|p| p.2).sum();
-        if spec.shape == JobKind::Gang && total < need {
+        if spec.kind == JobKind::Gang && total < need {
             return !held.is_empty();
         }
         let mut any = !held.is_empty();
@@ -188,7 +188,7 @@
             let mid = slots[i].machine_id;
             // A gang needs all its places at once, so they are kept for it. An array's tasks come
             // one by one: served first anyway, it needs no machine to itself.
-            let keep = spec.shape != JobKind::Array || collects;
+            let keep = spec.kind != JobKind::Array || collects;
             if keep {
                 slots[i].reserved = Some(r.id);
             }
@@ -199,7 +199,7 @@
                 let stopped = victims.iter().filter(|(.., runs_out)| !runs_out).count();
                 let (name, count) = (m.name.clone(), stopped);
                 if count > 0 {
-                    let why = if spec.shape == JobKind::Array { "guarantee" } else { "priority" };
+                    let why = if spec.kind == JobKind::Array { "guarantee" } else { "priority" };
                     tracing::info!("preempt {count} tasks on {name} for {} ({why})", spec.uid);
                 }
             }
@@ -208,7 +208,7 @@
                 let Some(v) = self.jobs.get_mut(&vid) else { continue };
                 v.preempted += 1;
                 let grace = if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 };
-                if v.spec.shape == JobKind::Gang {
+                if v.spec.kind == JobKind::Gang {
                     self.stop_all_tasks(vid, now, grace);
                 } else {
                     self.stop_task(mid, vid, task, now, grace);
@@ -249,7 +249,7 @@
 
     /// Will this task have left its machine by itself before a reservation ends?
     fn runs_out(&self, spec: &JobSpec, e: &Assignment, now: u64) -> bool {
-        spec.shape == JobKind::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVATION_MS as f64
+        spec.kind == JobKind::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVATION_MS as f64
     }
 
     /// Counts a task that is about to be stopped for others.
@@ -258,7 +258,7 @@
         let Some(m) = self.machines.get(&mid) else { return };
         let Some(e) = m.assignments.get(&(id, task)) else { return };
         let spec = &job.spec;
-        let tasks = if spec.shape == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
+        let tasks = if spec.kind == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
         let lost = self.lost_s(spec, e, now) * spec.cpus * tasks;
         self.fairness_ledger.task_preempted(served::fairness_pair(spec), lost);
     }
@@ -302,7 +302,7 @@
             if e.stop_requested.is_some() {
                 free.release(v);
             } else if may {
-                let gang = if v.shape == JobKind::Gang { f64::from(v.tasks) } else { 1.0 };
+                let gang = if v.kind == JobKind::Gang { f64::from(v.tasks) } else { 1.0 };
                 let lost = self.lost_s(v, e, now);
                 list.push(((lost + 1.0) * v.cpus * gang, (*id, *task, false)));
             } else if asker.waits() && self.runs_out(v, e, now) {
--- a/crates/core/src/placement/singles.rs
+++ b/crates/core/src/placement/singles.rs
@@ -29,7 +29,7 @@
             return WaitReason::TeamLimit;
         }
         let mut order = self.candidate_indices(id, spec, slots);
-        if spec.shape == JobKind::Service {
+        if spec.kind == JobKind::Service {
             // Replicas go where the job has fewest.
             let job = &self.jobs[&id];
             order.sort_by_key(|i| job.placements_by_zone[slots[*i].zone.index()]);
@@ -47,7 +47,7 @@
                     return WaitReason::TeamLimit;
                 }
                 let failing = self.jobs.get(&id).is_some_and(|j| j.is_failing());
-                let most = if failing || spec.shape == JobKind::Service { 1 } else { u32::MAX };
+                let most = if failing || spec.kind == JobKind::Service { 1 } else { u32::MAX };
                 let n = slots[i]
                     .fitting_tasks(spec)
                     .min(left)
@@ -68,7 +68,7 @@
                 if failing {
                     return WaitReason::Backoff;
                 }
-                if spec.shape == JobKind::Service {
+                if spec.kind == JobKind::Service {
                     break;
                 }
             }
@@ -81,7 +81,7 @@
             return WaitReason::TeamLimit;
         }
         if placed {
-            self.placement_pending = spec.shape == JobKind::Service;
+            self.placement_pending = spec.kind == JobKind::Service;
         }
         WaitReason::NoRoom
     }
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/slots.rs
@@ -182,7 +182,7 @@
                 let routed = job.routed_by_pool.get(pool).is_some_and(|r| *r > 0);
                 let image = s.images.contains(&spec.image);
                 // The cheapest first, so that dear machines get free and can be given back.
-                let f = &self.flavors[s.kind.index()];
+                let f = &self.machine_types[s.kind.index()];
                 let price = (f.price(s.spot) * self.machine_share(spec, s.kind) * 1e6) as i64;
                 let free = (s.cpus * 1000.0) as i64;
                 (doubted(s), !image, s.reserved.is_none(), !routed, price, free, i)
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -15,7 +15,7 @@
     let mut c = crate::for_tests::cell();
     let mut body = crate::for_tests::body("wk-1");
     edit(&mut body);
-    let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+    let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
     Arc::new(resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid"))
 }
 
@@ -73,7 +73,7 @@
         guaranteed,
         team: TeamId(0),
         team_underserved: false,
-        class_need: DeficitLevel::NONE,
+        class_deficit: DeficitLevel::NONE,
     };
     let gang = |b: &mut JobBody| {
         (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 3, 4.0, Priority::Normal);
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -165,7 +165,7 @@
 
 /// `c/flavors`: the machine types, as the cloud last told them to a leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct FlavorsRecord {
+pub struct MachineTypesRecord {
     #[serde(rename = "berths")]
     pub machine_types: Vec<WireMachineType>,
 }
@@ -197,7 +197,7 @@
     Machine(MachineRecord),
     Pack(PackRecord),
     Rental(RentalRecord),
-    Flavors(FlavorsRecord),
+    Flavors(MachineTypesRecord),
     Provided(ProvidedRecord),
     Service(FairnessRecord),
 }
--- a/crates/core/src/safety_tests.rs
+++ b/crates/core/src/safety_tests.rs
@@ -342,7 +342,7 @@
         for n in 0..300 {
             let mut body = body(&format!("wk-{n:020}"));
             (body.team, body.tasks, body.cpus, body.mem_gb) = ("guest".into(), 1, 0.1, 0.1);
-            let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+            let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
             let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
             let id = c.insert_job(spec, body, START_MS, START_MS as i64);
             let ver = c.mark_dirty(RecordKey::Job(id));
--- a/crates/core/src/state/cell.rs
+++ b/crates/core/src/state/cell.rs
@@ -5,7 +5,7 @@
 use crate::settings::Settings;
 use crate::state::aside::UnreadableRecords;
 use crate::state::finals::FinalRecordCache;
-use crate::state::fleet::{Flavor, Fleet};
+use crate::state::fleet::{MachineType, Fleet};
 use crate::state::job::{DONE_CHUNK_TASKS, Job, DONE_CHUNK_PARTS, JobSpec, secs_to_ms};
 use crate::state::ledger::{RecordKey, WriteQueue};
 use crate::state::links::Dependencies;
@@ -41,7 +41,7 @@
     /// When this leader took over, by its steady clock in milliseconds.
     pub took_over_at: u64,
     pub names: Names,
-    pub flavors: Vec<Flavor>,
+    pub machine_types: Vec<MachineType>,
     pub jobs: Table<JobId, Job>,
     /// Open jobs that wait for no others, in order of arrival.
     pub queue: BTreeSet<(u64, JobId)>,
@@ -59,7 +59,7 @@
     /// How large the jobs of each class are.
     pub job_sizes: JobSizes,
     /// Who was served too little, as of the last placement pass.
-    pub needs: Deficits,
+    pub deficits: Deficits,
     pub direct_requests: Vec<DirectRequest>,
     /// In one placement pass: what could be stopped for the limits of teams, by team, once somebody asked.
     pub(crate) stoppable: Vec<Option<Vec<StoppableGroup>>>,
@@ -90,7 +90,7 @@
         leader: Condition,
         now: u64,
         mut names: Names,
-        flavors: Vec<Flavor>,
+        flavors: Vec<MachineType>,
     ) -> LeaderState {
         for f in &flavors {
             names.types.intern(&f.label);
@@ -106,7 +106,7 @@
             fleet: Fleet::new(term),
             fairness_ledger: FairnessLedger::default(),
             job_sizes: JobSizes::default(),
-            needs: Deficits::default(),
+            deficits: Deficits::default(),
             dependencies: Dependencies::default(),
             unreadable: UnreadableRecords::default(),
             packs: Packs::default(),
@@ -117,7 +117,7 @@
             term,
             took_over_at: now,
             names,
-            flavors,
+            machine_types: flavors,
             jobs: Table::default(),
             queue: BTreeSet::new(),
             machines: Table::default(),
@@ -133,11 +133,11 @@
     }
 
     pub fn pool_count(&self) -> usize {
-        self.names.zones.len() * self.flavors.len()
+        self.names.zones.len() * self.machine_types.len()
     }
 
     pub fn pool_index(&self, zone: ZoneId, kind: TypeId) -> usize {
-        zone.index() * self.flavors.len() + kind.index()
+        zone.index() * self.machine_types.len() + kind.index()
     }
 
     pub fn new_id(&mut self) -> usize {
@@ -185,7 +185,7 @@
             unknown.cpus += (m.cpus - m.used_cpus).max(0.0);
             unknown.gpus += (m.gpus - m.used_gpus).max(0.0);
         }
-        let largest = |f: fn(&Flavor) -> f64| self.flavors.iter().map(f).fold(0.0, f64::max);
+        let largest = |f: fn(&MachineType) -> f64| self.machine_types.iter().map(f).fold(0.0, f64::max);
         let hidden = self.unreadable.machines().count() as f64;
         unknown.cpus += hidden * largest(|f| f.cpus);
         unknown.gpus += hidden * largest(|f| f.gpus);
@@ -240,13 +240,13 @@
     }
 
     /// Changes a job's priority; what its tasks use is counted under the new one.
-    pub fn set_precedence(&mut self, id: JobId, precedence: Priority) {
+    pub fn set_priority(&mut self, id: JobId, precedence: Priority) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.spec.precedence == precedence {
+        if job.spec.priority == precedence {
             return;
         }
         let on = f64::from(job.placement_counts.values().sum::<u32>());
-        self.team_usage.set_precedence(Arc::make_mut(&mut job.spec), on, precedence);
+        self.team_usage.set_priority(Arc::make_mut(&mut job.spec), on, precedence);
     }
 
     pub(crate) fn expected_run_ms(&self, id: JobId) -> i64 {
@@ -343,7 +343,7 @@
         now: u64,
     ) -> MachineId {
         let mid = MachineId::from(self.new_id());
-        let f = &self.flavors[kind.index()];
+        let f = &self.machine_types[kind.index()];
         let machine = Machine {
             name: name.into(),
             addr: addr.into(),
@@ -396,7 +396,7 @@
             && let Some(m) = self.machines.get(&mid)
         {
             job.placed_at = now;
-            let pool = m.zone.index() * self.flavors.len() + m.machine_type.index();
+            let pool = m.zone.index() * self.machine_types.len() + m.machine_type.index();
             let r = match job.routed_by_pool.get(pool) {
                 Some(r) if *r > 0 => Some(pool),
                 _ => job.routed_by_pool.iter().position(|r| *r > 0),
@@ -409,7 +409,7 @@
 
     /// What is placed in a pass after somebody asked what could be stopped can be stopped as well, and loses nothing.
     fn stoppable_too(&mut self, mid: MachineId, id: JobId, task: u32, attempt: u64) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.spec.shape != JobKind::Gang) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|j| j.spec.kind != JobKind::Gang) else { return };
         if let Some(Some(groups)) = self.stoppable.get_mut(job.spec.team.index()) {
             let at = (mid, id, task, attempt);
             let group = (served::fairness_pair(&job.spec), job.guaranteed);
@@ -461,7 +461,7 @@
         };
         if left == 0 && job.is_open() && !job.done.contains(task) {
             job.waiting.insert(task);
-            let pool = zone.index() * self.flavors.len() + self.machines[&mid].machine_type.index();
+            let pool = zone.index() * self.machine_types.len() + self.machines[&mid].machine_type.index();
             if let Some(r) = job.routed_by_pool.get_mut(pool) {
                 *r += 1;
             }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 #[derive(Debug, Clone)]
-pub struct Flavor {
+pub struct MachineType {
     pub label: String,
     pub cpus: f64,
     pub gpus: f64,
@@ -20,9 +20,9 @@
     pub zones: Vec<ZoneId>,
 }
 
-impl Flavor {
-    pub fn from_wire(w: &WireMachineType, names: &mut Names) -> Flavor {
-        Flavor {
+impl MachineType {
+    pub fn from_wire(w: &WireMachineType, names: &mut Names) -> MachineType {
+        MachineType {
             label: w.label.clone(),
             cpus: w.cpus.max(0.0),
             gpus: w.gpus.max(0.0),
--- a/crates/core/src/state/teams.rs
+++ b/crates/core/src/state/teams.rs
@@ -33,8 +33,8 @@
 
 impl UsageByPriority {
     fn of(&mut self, spec: &JobSpec) -> &mut Usage {
-        let side = if spec.shape == JobKind::Gang { &mut self.gang } else { &mut self.non_gang };
-        &mut side[spec.precedence as usize]
+        let side = if spec.kind == JobKind::Gang { &mut self.gang } else { &mut self.non_gang };
+        &mut side[spec.priority as usize]
     }
 
     pub fn total_at(&self, precedence: usize) -> Usage {
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone)]
 pub struct StoppableGroup {
     pub pair: TeamClass,
-    pub precedence: Priority,
+    pub priority: Priority,
     pub guaranteed: bool,
     pub tasks: Vec<Stoppable>,
     pub usage: Usage,
@@ -74,12 +74,12 @@
         (mid, id, task, attempt): (MachineId, JobId, u32, u64),
         lost_s: f64,
     ) {
-        let precedence = spec.precedence;
+        let precedence = spec.priority;
         let key = (pair, precedence, guaranteed);
-        let same = |g: &StoppableGroup| (g.pair, g.precedence, g.guaranteed) == key;
+        let same = |g: &StoppableGroup| (g.pair, g.priority, g.guaranteed) == key;
         let at = groups.iter().position(same).unwrap_or_else(|| {
             let (tasks, uses) = (vec![], Usage::default());
-            groups.push(StoppableGroup { pair, precedence, guaranteed, tasks, usage: uses });
+            groups.push(StoppableGroup { pair, priority: precedence, guaranteed, tasks, usage: uses });
             groups.len() - 1
         });
         let uses = Usage { cpus: spec.cpus, gpus: spec.gpus };
@@ -172,10 +172,10 @@
     }
 
     /// What `tasks` of this shape use counts under another priority from here on.
-    pub fn set_precedence(&mut self, spec: &mut JobSpec, tasks: f64, precedence: Priority) {
+    pub fn set_priority(&mut self, spec: &mut JobSpec, tasks: f64, precedence: Priority) {
         let split = &mut self.split[spec.team.index()];
         split.of(spec).sub(spec, tasks);
-        spec.precedence = precedence;
+        spec.priority = precedence;
         split.of(spec).add(spec, tasks);
     }
 
@@ -203,12 +203,12 @@
         for (shape, n) in [(JobKind::Array, 3), (JobKind::Gang, 2), (JobKind::Service, 1)] {
             let mut teams = TeamUsage::new(2);
             let mut s = job_spec("wk-1", |_| ());
-            s.shape = shape;
+            s.kind = shape;
             (0..n).for_each(|_| teams.add(&s));
             assert_eq!(teams.usage(s.team).cpus, s.cpus * f64::from(n));
-            assert_eq!(teams.usage_by_priority(s.team).total_at(s.precedence as usize).cpus, s.cpus * f64::from(n));
-            let was = s.precedence;
-            teams.set_precedence(&mut s, f64::from(n), Priority::High);
+            assert_eq!(teams.usage_by_priority(s.team).total_at(s.priority as usize).cpus, s.cpus * f64::from(n));
+            let was = s.priority;
+            teams.set_priority(&mut s, f64::from(n), Priority::High);
             assert_eq!(teams.usage_by_priority(s.team).total_at(was as usize).cpus, 0.0);
             (0..n).for_each(|_| teams.sub(&s));
             assert_eq!(teams.usage(s.team).cpus, 0.0);
--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -155,7 +155,7 @@
             record.job.machine_types.clone_from(&waits.machine_types);
         }
         let settings = cell.settings.clone();
-        let flavors = std::mem::take(&mut cell.flavors);
+        let flavors = std::mem::take(&mut cell.machine_types);
         let uid = path.trim_start_matches("j/");
         let parts = waits.as_ref().filter(|_| !record.cancelled).map_or(0, |w| w.parts);
         let lacks = (0..parts).map(|n| format!("a/{uid}/{n}")).find(|p| !links.contains_key(p));
@@ -169,7 +169,7 @@
             resolve_spec(&record.job, &mut cell.names, &flavors, &settings)
                 .map_err(|e| format!("accepted under other settings: {e}"))
         };
-        cell.flavors = flavors;
+        cell.machine_types = flavors;
         let spec = match spec {
             Ok(spec) => spec,
             Err(e) => {
--- a/crates/core/src/workers/ends.rs
+++ b/crates/core/src/workers/ends.rs
@@ -39,7 +39,7 @@
         let proves = !job.known_to_run && job.failures > 0;
         // A newer attempt, if one is on its way, has nothing left to do. Found in drawn scenes: of a gang it was never sent,
         // since the job was over, and its place used the limit of its team for as long as the leader led.
-        let again = job.spec.shape != JobKind::Service && job.placement_counts.contains_key(&task);
+        let again = job.spec.kind != JobKind::Service && job.placement_counts.contains_key(&task);
         let ver = self.mark_dirty(RecordKey::DoneChunk(id, chunk));
         if let Some(job) = self.jobs.get_mut(&id) {
             job.unsaved.insert(task, ver);
--- a/crates/core/src/workers/orders.rs
+++ b/crates/core/src/workers/orders.rs
@@ -18,7 +18,7 @@
 
     pub(crate) fn finished(&self, id: JobId, task: u32) -> bool {
         self.jobs.get(&id).is_none_or(|j| {
-            j.is_cancelled() || j.spec.shape == JobKind::Service || self.is_done_saved(id, task)
+            j.is_cancelled() || j.spec.kind == JobKind::Service || self.is_done_saved(id, task)
         })
     }
 
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -51,7 +51,7 @@
                 else {
                     return ReportOutcome::Malformed("unknown machine type or zone");
                 };
-                if kind.index() >= self.flavors.len() {
+                if kind.index() >= self.machine_types.len() {
                     return ReportOutcome::Malformed("unknown machine type");
                 }
                 self.add_machine(&r.machine, &r.addr, kind, zone, r.spot, now)
@@ -230,7 +230,7 @@
     fn adopt(&mut self, mid: MachineId, id: JobId, task: u32, attempt: u64, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
         let free = job.is_open() && job.pending_dependencies.is_empty() && job.waiting.contains(task);
-        let mates = job.spec.shape != JobKind::Gang || job.placement_counts.is_empty() || job.gang_attempt == attempt;
+        let mates = job.spec.kind != JobKind::Gang || job.placement_counts.is_empty() || job.gang_attempt == attempt;
         if !free || !mates {
             return;
         }
@@ -282,12 +282,12 @@
                     m.machine_failures = 0;
                     m.suspect_failures.clear();
                 }
-                if spec.shape == JobKind::Gang {
+                if spec.kind == JobKind::Gang {
                     // If one task of a gang is done, all are.
                     for t in 0..spec.tasks {
                         self.mark_task_done(id, t);
                     }
-                } else if spec.shape == JobKind::Array {
+                } else if spec.kind == JobKind::Array {
                     self.mark_task_done(id, task);
                 }
             }
@@ -305,7 +305,7 @@
         }
         if p.cause.as_deref() != Some("done") {
             self.handle_lost_task(id);
-            if spec.shape != JobKind::Gang {
+            if spec.kind != JobKind::Gang {
                 return;
             }
             if p.cause.as_deref() == Some("alone") && self.mates_fetch(id, now) {
@@ -329,7 +329,7 @@
         let Some(job) = self.jobs.get(&id).filter(|j| !j.gang_started && j.is_open()) else { return false };
         let mut fetching = false;
         for m in self.machines.values() {
-            let fetch = job.spec.image_gb / self.flavors[m.machine_type.index()].fetch_gb_per_s;
+            let fetch = job.spec.image_gb / self.machine_types[m.machine_type.index()].fetch_gb_per_s;
             let most = 60_000 + (fetch.min(3600.0) * 4000.0) as u64;
             for (_, e) in m.assignments.range((id, 0)..=(id, u32::MAX)) {
                 if e.stop_requested.is_some() || e.unconfirmed {
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -63,7 +63,7 @@
     /// a replacement with the same attempt.
     pub fn handle_lost_task(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if job.spec.shape != JobKind::Gang || !job.is_open() {
+        if job.spec.kind != JobKind::Gang || !job.is_open() {
             return;
         }
         if job.placement_counts.is_empty() {
@@ -98,7 +98,7 @@
             if wait && e.observed != ObservedState::NotReported && e.observed != ObservedState::Pulling {
                 continue;
             }
-            if job.spec.shape == JobKind::Gang {
+            if job.spec.kind == JobKind::Gang {
                 gangs.insert(*id);
             } else {
                 single.push((*id, *task, if can_save { save + 1.0 } else { 0.0 }));
--- a/crates/core/tests/failures/users.rs
+++ b/crates/core/tests/failures/users.rs
@@ -57,7 +57,7 @@
                 other => panic!("{} on {named:?}: {other:?}", body.uid),
             };
             if let Some((named, names)) = named {
-                let (settings, flavors) = (cell.settings.clone(), cell.flavors.clone());
+                let (settings, flavors) = (cell.settings.clone(), cell.machine_types.clone());
                 let spec = resolve_spec(&body, &mut cell.names, &flavors, &settings);
                 cell.add_submitted_job(spec.expect("valid"), body.clone(), names, now, now);
                 body.depends_on = Some(named);
@@ -81,7 +81,7 @@
                 _ => None,
             };
             if let Some(names) = names.filter(|_| !known) {
-                let (settings, flavors) = (cell.settings.clone(), cell.flavors.clone());
+                let (settings, flavors) = (cell.settings.clone(), cell.machine_types.clone());
                 let spec = resolve_spec(&body, &mut cell.names, &flavors, &settings);
                 cell.add_submitted_job(spec.expect("valid"), body, names, now, now);
             }
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -4,7 +4,7 @@
 use copperhaven_core::records::{Change, Condition, Record};
 use copperhaven_core::settings::Settings;
 use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::state::fleet::Flavor;
+use copperhaven_core::state::fleet::MachineType;
 use copperhaven_core::state::ledger::Batch;
 use copperhaven_core::state::names::Names;
 use copperhaven_wire::jobs::JobBody;
@@ -123,9 +123,9 @@
     pub deaf: usize,
 }
 
-pub fn flavors(names: &mut Names) -> Vec<Flavor> {
+pub fn flavors(names: &mut Names) -> Vec<MachineType> {
     names.types.intern("m8");
-    vec![Flavor {
+    vec![MachineType {
         label: "m8".into(),
         cpus: 8.0,
         gpus: 0.0,
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -6,7 +6,7 @@
 use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, body, sample_settings_with};
 use copperhaven_core::records::*;
 use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::state::fleet::Flavor;
+use copperhaven_core::state::fleet::MachineType;
 use copperhaven_core::state::ledger::RecordKey;
 use copperhaven_core::state::names::{JobId, Names};
 use copperhaven_core::takeover::{Records, rebuild};
@@ -41,9 +41,9 @@
 fn cell(value_limit: usize) -> LeaderState {
     let settings = sample_settings_with(&[(TEAMS_LINE, RED), (OBJECTIVES_LINE, ""), NEXT]);
     let mut names = Names::new(&settings);
-    let types: FlavorsRecord = read("c/flavors");
-    let flavors: Vec<Flavor> =
-        types.machine_types.iter().map(|w: &WireMachineType| Flavor::from_wire(w, &mut names)).collect();
+    let types: MachineTypesRecord = read("c/flavors");
+    let flavors: Vec<MachineType> =
+        types.machine_types.iter().map(|w: &WireMachineType| MachineType::from_wire(w, &mut names)).collect();
     let leader = Condition { path: "c/leader".into(), revision: 50 };
     let mut c = LeaderState::new(Arc::new(settings), TERM, leader, T0, names, flavors);
     c.write_queue.value_limit = value_limit;
@@ -94,7 +94,7 @@
         ..body(uid)
     };
     edit(&mut body);
-    let (settings, flavors) = (c.settings.clone(), c.flavors.clone());
+    let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
     let spec = resolve_spec(&body, &mut c.names, &flavors, &settings).expect("valid");
     let id = c.insert_job(spec, body, 1, T0 as i64);
     let ver = c.mark_dirty(RecordKey::Job(id));
