--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/api.rs
@@ -1,7 +1,7 @@
 //! The door for users, workers and health checks.
 
 use crate::cluster::frames::Op;
-use crate::listen::{ListenError, BIND_TIMEOUT, listen};
+use crate::listen::{BIND_TIMEOUT, ListenError, listen};
 use crate::node::Node;
 use crate::reply::Reply;
 use copperhaven_wire::limits::MAX_BODY_BYTES;
--- a/crates/controller/src/client.rs
+++ b/crates/controller/src/cli.rs
@@ -5,7 +5,9 @@
 use crate::store::{Store, StoreError};
 use copperhaven_core::records::{ABILITIES_PREFIX, STAGES_KEY};
 use copperhaven_core::settings::Settings;
-use copperhaven_rollout::{ABILITIES, AbilitiesRecord, HoldReason, Transition, StagesRecord, next_transition};
+use copperhaven_rollout::{
+    ABILITIES, AbilitiesRecord, HoldReason, StagesRecord, Transition, next_transition,
+};
 use copperhaven_wire::jobs::{JobStatus, is_valid_uid};
 use hyper::Method;
 use std::collections::BTreeMap;
@@ -34,7 +36,11 @@
 async fn read_stages(store: &Store) -> Result<(StagesRecord, Cans), StoreError> {
     let stages = store.get::<StagesRecord>(STAGES_KEY).await?.map(|(s, _)| s).unwrap_or_default();
     let cans = store.list::<AbilitiesRecord>(ABILITIES_PREFIX).await?.rows.into_iter();
-    Ok((stages, cans.map(|(path, can, _)| (path.trim_start_matches(ABILITIES_PREFIX).into(), can)).collect()))
+    Ok((
+        stages,
+        cans.map(|(path, can, _)| (path.trim_start_matches(ABILITIES_PREFIX).into(), can))
+            .collect(),
+    ))
 }
 
 fn told(settings: &Settings, stages: &StagesRecord, cans: &Cans) -> String {
@@ -50,16 +56,29 @@
     for ability in ABILITIES {
         let stage = stages.stage(ability);
         // Whether records of it are left only its leader knows; they are taken to be.
-        let comes = match next_transition(ability, stages, &members, cans, &settings.ability_overrides(), true) {
+        let comes = match next_transition(
+            ability,
+            stages,
+            &members,
+            cans,
+            &settings.ability_overrides(),
+            true,
+        ) {
             Transition::Move(to, _) => format!("{} next", to.name()),
             Transition::Hold(HoldReason::Complete) => "as far as it goes".into(),
             Transition::Hold(HoldReason::Disabled) => "stays so: abilities_off".into(),
             Transition::Hold(HoldReason::LegacyInstallation) => {
                 "an older release wrote here before: waits for abilities_on".into()
             }
-            Transition::Hold(HoldReason::MissingMembers(m)) if m.is_empty() => "all members are left out".into(),
-            Transition::Hold(HoldReason::MissingMembers(m)) => format!("waits for {}", m.join(", ")),
-            Transition::Hold(HoldReason::RemainingRecords) => "waits until none of its records is left".into(),
+            Transition::Hold(HoldReason::MissingMembers(m)) if m.is_empty() => {
+                "all members are left out".into()
+            }
+            Transition::Hold(HoldReason::MissingMembers(m)) => {
+                format!("waits for {}", m.join(", "))
+            }
+            Transition::Hold(HoldReason::RemainingRecords) => {
+                "waits until none of its records is left".into()
+            }
         };
         let since =
             stages.stages.get(ability).map_or(String::new(), |r| format!(" since term {}", r.term));
@@ -147,7 +166,8 @@
             "wk-1: queued, 0 tasks done, 0 running; the team's limit is reached"
         );
         s.reason = Some("waits for other jobs to be done".into());
-        (s.pending_dependencies, s.pending_dependency_count) = (vec!["wk-2".into(), "wk-3".into()], 5);
+        (s.pending_dependencies, s.pending_dependency_count) =
+            (vec!["wk-2".into(), "wk-3".into()], 5);
         s.blocked_by = Some(copperhaven_wire::jobs::BlockingJob {
             uid: "wk-7".into(),
             class: "render".into(),
--- a/crates/controller/src/cloud.rs
+++ b/crates/controller/src/cloud.rs
@@ -47,8 +47,13 @@
         struct Got {
             hearths: Vec<String>,
         }
-        let ask =
-            Ask { hire: name, berth: &r.machine_type, yard: &r.zone, loaners: r.spot, number: r.count };
+        let ask = Ask {
+            hire: name,
+            berth: &r.machine_type,
+            yard: &r.zone,
+            loaners: r.spot,
+            number: r.count,
+        };
         let a = self.http.post(&self.addr, "/hosts", &ask, LIMIT).await?;
         let lost = |why: &str| Err(CallError::OutcomeUnknown(why.into()));
         match a.status {
--- a/crates/controller/src/cluster/mod.rs
+++ b/crates/controller/src/cluster/mod.rs
@@ -102,11 +102,19 @@
     }
 
     pub(crate) fn reachable_mask(&self, now: u64) -> u16 {
-        self.links.iter().filter(|l| l.healthy(now)).fold(0, |bits, l| bits | (1 << (l.member_index & 15)))
+        self.links
+            .iter()
+            .filter(|l| l.healthy(now))
+            .fold(0, |bits, l| bits | (1 << (l.member_index & 15)))
     }
 
     /// The link on which `leader` is best reached: its own, or that of a peer which reaches it.
-    pub(crate) fn way(&self, leader: usize, now: u64, direct: bool) -> Option<(&Arc<PeerLink>, u8)> {
+    pub(crate) fn way(
+        &self,
+        leader: usize,
+        now: u64,
+        direct: bool,
+    ) -> Option<(&Arc<PeerLink>, u8)> {
         if let Some(l) = self.links.iter().find(|l| l.member_index == leader && l.healthy(now)) {
             return Some((l, 0));
         }
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -160,7 +160,12 @@
         self.call(Method::POST, addr, path, Some(encode(value)), limit).await
     }
 
-    pub async fn get(&self, addr: &str, path: &str, limit: Duration) -> Result<HttpResponse, CallError> {
+    pub async fn get(
+        &self,
+        addr: &str,
+        path: &str,
+        limit: Duration,
+    ) -> Result<HttpResponse, CallError> {
         self.call(Method::GET, addr, path, None, limit).await
     }
 }
--- a/crates/controller/src/leadership/commits.rs
+++ b/crates/controller/src/leadership/commits.rs
@@ -3,7 +3,7 @@
 use crate::leadership::ms;
 use crate::node::Node;
 use crate::store::{CommitOutcome, StoreError};
-use copperhaven_core::caution::CommitThrottle;
+use copperhaven_core::commit_throttle::CommitThrottle;
 use copperhaven_core::records::*;
 use serde::de::IgnoredAny;
 use std::sync::Arc;
@@ -42,7 +42,9 @@
         let batch = node.with_leader_state(term, |c, _| c.next_batch_with_reserve(ops, reserve));
         let Some(batch) = batch else { return "superseded" };
         let Some(batch) = batch else {
-            let more = node.with_leader_state(term, |c, _| c.write_queue.dirty_count() > c.write_queue.held_back_count());
+            let more = node.with_leader_state(term, |c, _| {
+                c.write_queue.dirty_count() > c.write_queue.held_back_count()
+            });
             if more == Some(true) {
                 sleep(ms(20)).await;
                 continue;
@@ -57,7 +59,10 @@
         let outcome = node.store.commit(&batch.conditions, &batch.changes).await;
         node.with_leader_state(term, |c, _| {
             c.write_queue.commit_stats.writes += batch.changes.len() as u64;
-            c.write_queue.commit_stats.latency_us.saturating_record(begin.elapsed().as_micros() as u64);
+            c.write_queue
+                .commit_stats
+                .latency_us
+                .saturating_record(begin.elapsed().as_micros() as u64);
         });
         match outcome {
             CommitOutcome::Applied(rev) => {
@@ -84,7 +89,9 @@
                         match node.store.get::<FinalRecord>(&key).await {
                             Ok(seen) => {
                                 let (last, stamp) = seen.unzip();
-                                node.with_leader_state(term, |c, _| c.on_condition_failed(&key, stamp, last));
+                                node.with_leader_state(term, |c, _| {
+                                    c.on_condition_failed(&key, stamp, last)
+                                });
                             }
                             // Or the same transaction would be tried for ever, and no other.
                             Err(e @ StoreError::Unreadable { .. }) => {
@@ -96,7 +103,9 @@
                         }
                     } else if let Ok(seen) = node.store.get::<IgnoredAny>(&key).await {
                         let stamp = seen.map(|(_, stamp)| stamp);
-                        node.with_leader_state(term, |c, _| c.on_condition_failed(&key, stamp, None));
+                        node.with_leader_state(term, |c, _| {
+                            c.on_condition_failed(&key, stamp, None)
+                        });
                     }
                 }
                 node.notify_changed();
@@ -113,7 +122,10 @@
                 sleep(ms(100)).await;
             }
             CommitOutcome::RateLimited => {
-                tracing::warn!("the state service refuses {} changes: too many", batch.changes.len());
+                tracing::warn!(
+                    "the state service refuses {} changes: too many",
+                    batch.changes.len()
+                );
                 caution.rate_factor = (caution.rate_factor * 0.8).max(0.2);
                 node.with_leader_state(term, |c, _| {
                     c.write_queue.batch_not_executed(&batch);
--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::store::StoreError;
 use copperhaven_core::records::*;
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_rollout::{PACKS, Stage};
 use tokio::time::sleep;
@@ -46,8 +46,18 @@
         }
         Err(e) => return Err(e),
     };
-    let bad = [jobs.unreadable, done.unreadable, machines.unreadable, packs.unreadable, rentals.unreadable, links.unreadable].concat();
-    let Some((names, flavors)) = node.names_and_machine_types() else { return Err(StoreError::Malformed) };
+    let bad = [
+        jobs.unreadable,
+        done.unreadable,
+        machines.unreadable,
+        packs.unreadable,
+        rentals.unreadable,
+        links.unreadable,
+    ]
+    .concat();
+    let Some((names, flavors)) = node.names_and_machine_types() else {
+        return Err(StoreError::Malformed);
+    };
     let leader = Condition { path: LEADER_KEY.into(), revision: stamp };
     let now = node.now();
     let mut cell = LeaderState::new(node.settings.clone(), term, leader, now, names, flavors);
@@ -76,7 +86,9 @@
 /// record is in memory.
 pub(super) async fn read_awaited_outcomes(node: &Node, term: u64) -> &'static str {
     loop {
-        let Some(some) = node.with_leader_state(term, |c, _| c.dependencies.next_unread_outcomes(4)) else {
+        let Some(some) =
+            node.with_leader_state(term, |c, _| c.dependencies.next_unread_outcomes(4))
+        else {
             return "superseded";
         };
         let pause = if some.is_empty() { 200 } else { 20 };
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -3,22 +3,22 @@
 pub mod commits;
 pub mod load;
 pub mod probes;
-pub mod returns;
+pub mod restart;
 pub mod stages;
 pub mod sweep;
 pub mod ticks;
 
-use crate::dealings;
 use crate::leadership::{
     commits::commit_loop,
     load::{load, read_awaited_outcomes, record_machine_types},
-    returns::replace_predecessor,
+    restart::replace_predecessor,
     ticks::tick_loop,
 };
 use crate::node::Node;
+use crate::provisioning;
 use crate::store::CommitOutcome;
 use copperhaven_core::records::*;
-use copperhaven_reach::returns::KeyDecision;
+use copperhaven_reach::restart::KeyDecision;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -58,7 +58,7 @@
         node.update_state_service_health(leader.as_ref().err());
         match leader {
             Ok(Some((record, stamp, lease))) => {
-                let verdict = returns::assess_leader_key(&node, &record, first);
+                let verdict = restart::assess_leader_key(&node, &record, first);
                 // Until it listens itself it can't tell whose its own name is.
                 first &= record.member == node.settings.member && node.listen_addr().is_none();
                 if verdict != KeyDecision::HeldByOther {
@@ -174,7 +174,11 @@
         Condition { path: TERM_KEY.into(), revision: term_stamp },
         Condition { path: LEADER_KEY.into(), revision: over },
     ];
-    let put = |put: &str, v: Record, charter| Change::Put { path: put.into(), value: v, lease_id: charter };
+    let put = |put: &str, v: Record, charter| Change::Put {
+        path: put.into(),
+        value: v,
+        lease_id: charter,
+    };
     let mut apply = vec![
         put(TERM_KEY, Record::term(term, &stages), None),
         put(LEADER_KEY, Record::Leader(record.clone()), Some(lease)),
@@ -272,7 +276,7 @@
         why = tick_loop(node, term) => why,
         why = stages::run(node, term, stamp) => why,
         why = sweep::run(node, term) => why,
-        _ = dealings::run(node.clone(), term) => "superseded",
+        _ = provisioning::run(node.clone(), term) => "superseded",
     }
 }
 
--- a/crates/controller/src/leadership/returns.rs
+++ b/crates/controller/src/leadership/restart.rs
@@ -4,14 +4,19 @@
 use crate::leadership::{elect, lead};
 use crate::node::Node;
 use copperhaven_core::records::LeaderRecord;
-use copperhaven_reach::returns::{self, LeaderKey, KeyDecision};
+use copperhaven_reach::restart::{self, KeyDecision, LeaderKey};
 use std::sync::Arc;
 
 /// What this process makes of the leader's key, which is under its own name or another's.
 pub(super) fn assess_leader_key(node: &Node, record: &LeaderRecord, first: bool) -> KeyDecision {
     let (seat, member) = (record.listen_addr.as_deref(), record.member.as_str());
-    let held = LeaderKey { member, listen_addr: seat, elected_at_ms: record.elected_at_ms, restarts: record.restarts };
-    returns::decide(held, &node.settings.member, node.listen_addr(), first, Node::unix_time_ms())
+    let held = LeaderKey {
+        member,
+        listen_addr: seat,
+        elected_at_ms: record.elected_at_ms,
+        restarts: record.restarts,
+    };
+    restart::decide(held, &node.settings.member, node.listen_addr(), first, Node::unix_time_ms())
 }
 
 /// The leader's key is that of this process's predecessor, which has ended, or a late one of its own: nobody
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -6,7 +6,9 @@
 use crate::node::Node;
 use crate::store::{CommitOutcome, StoreError};
 use copperhaven_core::records::*;
-use copperhaven_rollout::{AbilitiesRecord, HoldReason, Transition, PACKS, Stage, StagesRecord, next_transition};
+use copperhaven_rollout::{
+    AbilitiesRecord, HoldReason, PACKS, Stage, StagesRecord, Transition, next_transition,
+};
 use std::collections::BTreeMap;
 use tokio::time::sleep;
 
@@ -74,23 +76,31 @@
             cans.rows.iter().map(|(path, _, s)| (path.as_str(), *s)).collect();
         let name = |path: &String| path.trim_start_matches(ABILITIES_PREFIX).to_string();
         let by_name = cans.rows.iter().map(|(path, can, _)| (name(path), can.clone())).collect();
-        let (stage, counted) = match next_transition(PACKS, &stages, &members, &by_name, &wish, left) {
-            Transition::Move(stage, counted) => (stage, counted),
-            Transition::Hold(why) => {
-                let done = matches!(why, HoldReason::Complete | HoldReason::Disabled | HoldReason::LegacyInstallation);
-                if told.as_ref() != Some(&why) {
-                    tell(&why, stages.stage(PACKS));
-                    told = Some(why);
+        let (stage, counted) =
+            match next_transition(PACKS, &stages, &members, &by_name, &wish, left) {
+                Transition::Move(stage, counted) => (stage, counted),
+                Transition::Hold(why) => {
+                    let done = matches!(
+                        why,
+                        HoldReason::Complete
+                            | HoldReason::Disabled
+                            | HoldReason::LegacyInstallation
+                    );
+                    if told.as_ref() != Some(&why) {
+                        tell(&why, stages.stage(PACKS));
+                        told = Some(why);
+                    }
+                    // Nothing more will come of it in this term.
+                    if done {
+                        std::future::pending::<()>().await;
+                    }
+                    continue;
                 }
-                // Nothing more will come of it in this term.
-                if done {
-                    std::future::pending::<()>().await;
-                }
-                continue;
-            }
-        };
+            };
         let next = stages.with_stage(PACKS, stage, term, counted.clone());
-        let Ok(Some((_, term_stamp))) = node.store.get::<TermRecord>(TERM_KEY).await else { continue };
+        let Ok(Some((_, term_stamp))) = node.store.get::<TermRecord>(TERM_KEY).await else {
+            continue;
+        };
         let mut when = vec![
             Condition { path: LEADER_KEY.into(), revision: leader },
             Condition { path: STAGES_KEY.into(), revision: stamp },
@@ -102,7 +112,8 @@
             when.push(Condition { path, revision: stamp });
         }
         let put = |put: &str, v: Record| Change::Put { path: put.into(), value: v, lease_id: None };
-        let apply = [put(TERM_KEY, Record::term(term, &next)), put(STAGES_KEY, Record::Stages(next))];
+        let apply =
+            [put(TERM_KEY, Record::term(term, &next)), put(STAGES_KEY, Record::Stages(next))];
         // Whatever came of it is read back.
         if let CommitOutcome::Applied(_) = node.store.commit(&when, &apply).await {
             let who = if counted.is_empty() { "nobody".into() } else { counted.join(", ") };
--- a/crates/controller/src/leadership/sweep.rs
+++ b/crates/controller/src/leadership/sweep.rs
@@ -43,6 +43,7 @@
 /// Is it still so, when looked at alone? It may have been over, or accepted, in between.
 async fn lost(node: &Node, term: u64, uid: &str) -> bool {
     let open = node.store.get::<JobRecord>(&format!("j/{uid}")).await;
-    let unknown = node.with_leader_state(term, |c, lead| lead && !c.untracked_jobs([uid].into_iter()).is_empty());
+    let unknown = node
+        .with_leader_state(term, |c, lead| lead && !c.untracked_jobs([uid].into_iter()).is_empty());
     matches!(open, Ok(Some(_))) && unknown == Some(true)
 }
--- a/crates/controller/src/leadership/tests.rs
+++ b/crates/controller/src/leadership/tests.rs
@@ -164,8 +164,14 @@
         let state = node.state.lock().expect("lock");
         let cell = state.cell.as_ref().expect("a cell");
         // Without machine types no job can be told to fit: both are set aside, each for its reason.
-        assert!(cell.unreadable.job_reason("wk-1").is_some_and(|why| why.contains("fits no allowed")));
-        assert!(cell.unreadable.job_reason("wk-2").is_some_and(|why| why.contains("j/wk-2 can't be read")));
+        assert!(
+            cell.unreadable.job_reason("wk-1").is_some_and(|why| why.contains("fits no allowed"))
+        );
+        assert!(
+            cell.unreadable
+                .job_reason("wk-2")
+                .is_some_and(|why| why.contains("j/wk-2 can't be read"))
+        );
         assert!(cell.unreadable.has_machine("n-1"));
         for path in ["d/wk-1/0", "r/r-1-1", "a/wk-3/0", "j/wk-2"] {
             assert!(cell.unreadable.is_write_protected(path), "{path}");
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -2,7 +2,7 @@
 
 use crate::leadership::ms;
 use crate::node::Node;
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_recovery::phase::Phase;
 use std::sync::Arc;
 use tokio::time::sleep;
@@ -79,8 +79,10 @@
         });
         let Some((mut direct, report, machines)) = direct else { return "superseded" };
         node.place_if_due(term);
-        direct
-            .extend(node.with_leader_state(term, |c, _| std::mem::take(&mut c.direct_requests)).unwrap_or_default());
+        direct.extend(
+            node.with_leader_state(term, |c, _| std::mem::take(&mut c.direct_requests))
+                .unwrap_or_default(),
+        );
         let alone = alone_ms(report_ms);
         heard = heard.max(report);
         if (now > heard + alone) != deaf {
@@ -97,7 +99,8 @@
             peers = now;
         }
         // Workers that were asked in vain are better evidence than silence.
-        let alone = if beat.is_multiple_of(5) && node.is_cut_off_from_workers() { ASKED_MS } else { alone };
+        let alone =
+            if beat.is_multiple_of(5) && node.is_cut_off_from_workers() { ASKED_MS } else { alone };
         if now > peers.max(heard) + alone {
             return ISOLATED;
         }
@@ -122,7 +125,8 @@
 fn tell_recovery(c: &mut LeaderState, now: u64) {
     let mut over = false;
     for z in c.recovery.advance_time(now) {
-        let (zone, heard) = (c.names.zones.name(z.zone.0 as usize), z.recorded_machines - z.unreported_machines);
+        let (zone, heard) =
+            (c.names.zones.name(z.zone.0 as usize), z.recorded_machines - z.unreported_machines);
         let (of, ms) = (z.recorded_machines, z.elapsed_ms);
         tracing::info!("recovery: {heard} of {of} machines of {zone} are heard after {ms} ms");
         over = c.recovery.phase() == Phase::Serving;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,11 +2,10 @@
 //! answer for it and take over. What it decides is in `copperhaven-core`; here it meets sockets,
 //! clocks and the state service.
 
-pub mod client;
+pub mod api;
+pub mod cli;
 pub mod cloud;
 pub mod cluster;
-pub mod dealings;
-pub mod front;
 pub mod http;
 pub mod leadership;
 pub mod listen;
@@ -14,5 +13,6 @@
 pub mod net;
 pub mod node;
 pub mod peers;
+pub mod provisioning;
 pub mod reply;
 pub mod store;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,7 +1,7 @@
 //! The command: reads the settings and wires the parts together.
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
-use copperhaven::{client, front, leadership, node::Node, peers};
+use copperhaven::{api, cli, leadership, node::Node, peers};
 use copperhaven_core::settings::{self, Settings};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -102,7 +102,7 @@
 fn load(files: &Files) -> Result<Settings, ExitCode> {
     settings::load(&files.config, files.tuning.as_deref()).map_err(|e| {
         eprintln!("copperhaven: {e}");
-        ExitCode::from(client::EXIT_USAGE)
+        ExitCode::from(cli::EXIT_USAGE)
     })
 }
 
@@ -116,11 +116,11 @@
 }
 
 fn job(id: &str, server: &str, cancel: bool) -> Result<(), ExitCode> {
-    show(runtime()?.block_on(client::job_command(id, server, cancel)))
+    show(runtime()?.block_on(cli::job_command(id, server, cancel)))
 }
 
 fn show((text, code): (String, u8)) -> Result<(), ExitCode> {
-    if code == client::EXIT_OK {
+    if code == cli::EXIT_OK {
         println!("{text}");
         return Ok(());
     }
@@ -130,7 +130,7 @@
 
 fn stages(files: &Files) -> Result<(), ExitCode> {
     let settings = load(files)?;
-    show(runtime()?.block_on(client::stages_command(&settings)))
+    show(runtime()?.block_on(cli::stages_command(&settings)))
 }
 
 /// Runs a controller, for as long as nothing is wrong.
@@ -144,7 +144,7 @@
     let node = Arc::new(Node::new(settings));
     let ended = runtime.block_on(async {
         tokio::select! {
-            r = front::run(node.clone()) => r.map_err(|e| e.to_string()),
+            r = api::run(node.clone()) => r.map_err(|e| e.to_string()),
             r = peers::run(node.clone()) => r.map_err(|e| e.to_string()),
             () = leadership::run(node.clone()) => Ok(()),
         }
@@ -178,7 +178,7 @@
         }
         (None, Some(files)) if args.check => check(files),
         (None, Some(files)) => serve(files, args.log_format),
-        (None, None) => Err(ExitCode::from(client::EXIT_USAGE)),
+        (None, None) => Err(ExitCode::from(cli::EXIT_USAGE)),
     };
     done.err().unwrap_or(ExitCode::SUCCESS)
 }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -110,7 +110,13 @@
             squared.get_or_create(&vec![("met", row.name().into())]).set(n as f64);
         }
         for (state, n) in [
-            ("awaiting", c.jobs.values().filter(|j| j.is_open() && !j.pending_dependencies.is_empty()).count()),
+            (
+                "awaiting",
+                c.jobs
+                    .values()
+                    .filter(|j| j.is_open() && !j.pending_dependencies.is_empty())
+                    .count(),
+            ),
             (
                 "waiting",
                 c.jobs
@@ -156,7 +162,9 @@
                 let routed = |j: &Job| j.routed_by_pool.get(pool).copied().unwrap_or(0);
                 let x: u32 = c.jobs.values().map(routed).sum();
                 let here = |m: &&Machine| {
-                    m.zone.index() == z && m.machine_type == TypeId::from(k) && m.is_usable(now, silence)
+                    m.zone.index() == z
+                        && m.machine_type == TypeId::from(k)
+                        && m.is_usable(now, silence)
                 };
                 let m = c.machines.values().filter(here).count() as f64 * flavor.cpus;
                 waiting.get_or_create(&labels).set(f64::from(x));
--- a/crates/controller/src/node/standing.rs
+++ b/crates/controller/src/node/authority.rs
@@ -71,9 +71,9 @@
         let reach = if state.cell.is_some() {
             self.has_authority(&state, now)
         } else {
-            state
-                .leader
-                .is_some_and(|(_, ix)| ix != self.cluster.own_index && self.cluster.can_reach(ix, now))
+            state.leader.is_some_and(|(_, ix)| {
+                ix != self.cluster.own_index && self.cluster.can_reach(ix, now)
+            })
         };
         if reach {
             state.leader_reached_ms = now;
@@ -103,8 +103,12 @@
 
     /// This release doesn't know an ability that is in use, so it does not lead. Told once in its life.
     pub fn note_unknown_ability(&self, ability: &str) {
-        let first =
-            self.state.lock().expect("lock").unreadable_keys.insert(format!("c/stages `{ability}`"));
+        let first = self
+            .state
+            .lock()
+            .expect("lock")
+            .unreadable_keys
+            .insert(format!("c/stages `{ability}`"));
         if first {
             tracing::error!(
                 "`{ability}` is in use and this release doesn't know it: it does not lead; run the release that does"
--- a/crates/controller/src/node/reach.rs
+++ b/crates/controller/src/node/connectivity.rs
@@ -3,9 +3,9 @@
 
 use crate::node::Node;
 use copperhaven_reach::Member;
-use copperhaven_reach::facts::{Connectivity, PeerConnectivity, LocalConnectivity};
-use copperhaven_reach::standing::{Candidacy, ElectionView};
-use copperhaven_reach::told;
+use copperhaven_reach::candidacy::{Candidacy, ElectionView};
+use copperhaven_reach::codec;
+use copperhaven_reach::connectivity::{Connectivity, LocalConnectivity, PeerConnectivity};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
 
@@ -145,9 +145,12 @@
         let peers = self.cluster.reachable_mask(now);
         let mut r = self.connectivity.lock().expect("lock");
         let facts = r.own.connectivity(peers, now);
-        let known = |f: &Connectivity| (f.state_service, f.workers_percent.map(|w| w.div_ceil(50)), f.peer_mask);
+        let known = |f: &Connectivity| {
+            (f.state_service, f.workers_percent.map(|w| w.div_ceil(50)), f.peer_mask)
+        };
         if r.told.is_none_or(|told| known(&told) != known(&facts)) {
-            let workers = facts.workers_percent.map_or("unknown".into(), |w| format!("{w}% of zones"));
+            let workers =
+                facts.workers_percent.map_or("unknown".into(), |w| format!("{w}% of zones"));
             let peers: Vec<&str> = (0..self.cluster.members.len())
                 .filter(|m| facts.can_hear(Member(*m)))
                 .map(|m| self.cluster.members[m].as_str())
@@ -168,16 +171,17 @@
         let now = self.now();
         let r = self.connectivity.lock().expect("lock");
         let others = r.known.unexpired(now).filter(|(m, ..)| m.0 != self.cluster.own_index);
-        told::encode(std::iter::once(own).chain(others))
+        codec::encode(std::iter::once(own).chain(others))
     }
 
     /// A peer told what it reaches and knows. Nonsense is dropped, and told once.
     pub fn merge_peer_connectivity(&self, peer: usize, body: &[u8]) {
         let now = self.now();
         let mut r = self.connectivity.lock().expect("lock");
-        match told::decode(body, self.cluster.members.len()) {
+        match codec::decode(body, self.cluster.members.len()) {
             Ok(all) => {
-                for (member, facts, age) in all.into_iter().filter(|(m, ..)| m.0 != self.cluster.own_index)
+                for (member, facts, age) in
+                    all.into_iter().filter(|(m, ..)| m.0 != self.cluster.own_index)
                 {
                     r.known.update(member, facts, age, now);
                 }
@@ -200,7 +204,15 @@
         let Reached { known, standing, .. } = &mut *r;
         let of = |m: Member| known.get(m, now);
         let members = self.cluster.members.len();
-        f(standing, &ElectionView { self_member: Member(self.cluster.own_index), local: own, member_count: members, peer_connectivity: &of })
+        f(
+            standing,
+            &ElectionView {
+                self_member: Member(self.cluster.own_index),
+                local: own,
+                member_count: members,
+                peer_connectivity: &of,
+            },
+        )
     }
 
     /// While nobody leads: how long to leave others the first try.
--- a/crates/controller/src/node/directly.rs
+++ b/crates/controller/src/node/direct_orders.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use copperhaven_core::state::machine::DirectRequest;
-use copperhaven_recovery::lane::{SendBudget, SEND_PRIORITY_COUNT, SendQueue, SendPriority};
+use copperhaven_recovery::send_queue::{SEND_PRIORITY_COUNT, SendBudget, SendPriority, SendQueue};
 use copperhaven_wire::workers::{Order, Orders, Report};
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -54,7 +54,9 @@
                 let m = d.machine.and_then(|mid| c.machines.get(&mid));
                 match (urgency, d.machine) {
                     (SendPriority::Halt, _) => true,
-                    (SendPriority::RequestReport, mid) => mid.is_some_and(|mid| c.is_report_request_useful(mid)),
+                    (SendPriority::RequestReport, mid) => {
+                        mid.is_some_and(|mid| c.is_report_request_useful(mid))
+                    }
                     // The answer to its own report has told it by now.
                     (SendPriority::Term, _) => m.is_none_or(|m| m.last_answered_at == 0),
                 }
--- a/crates/controller/src/node/lookups.rs
+++ b/crates/controller/src/node/lookups.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::reply::Reply;
 use crate::store::StoreError;
-use copperhaven_core::pipelines::awaits::DependencyState;
+use copperhaven_core::pipelines::submission::DependencyState;
 use copperhaven_core::records::{FinalRecord, JobRecord};
 use std::collections::HashSet;
 
@@ -17,7 +17,11 @@
     }
 
     /// Looks an id up that is not in memory: final jobs leave it. Err: no answer.
-    pub(super) async fn look_up_final(&self, term: u64, uid: &str) -> Result<Option<FinalRecord>, Reply> {
+    pub(super) async fn look_up_final(
+        &self,
+        term: u64,
+        uid: &str,
+    ) -> Result<Option<FinalRecord>, Reply> {
         if self.is_state_service_down() {
             return Err(Reply::later("the state service is out of reach", 1));
         }
@@ -35,7 +39,9 @@
     ) -> Result<Option<FinalRecord>, Reply> {
         match self.store.get::<FinalRecord>(&format!("f/{uid}")).await {
             Ok(Some((record, _))) => {
-                self.with_leader_state(term, |c, _| c.final_records.insert(uid.into(), record.clone()));
+                self.with_leader_state(term, |c, _| {
+                    c.final_records.insert(uid.into(), record.clone())
+                });
                 Ok(Some(record))
             }
             Ok(None) => Ok(None),
@@ -74,7 +80,9 @@
             if !asked.insert(uid.clone()) {
                 continue;
             }
-            if asked.len() > WALK || !self.lookups.lock().expect("lock").try_acquire_more(2, self.now()) {
+            if asked.len() > WALK
+                || !self.lookups.lock().expect("lock").try_acquire_more(2, self.now())
+            {
                 return None;
             }
             // The open record first, as above.
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -1,13 +1,13 @@
 //! One controller: what it shares between its parts, and how it answers, as leader or for it.
 
-pub mod directly;
-pub mod doors;
+pub mod authority;
+pub mod connectivity;
+pub mod direct_orders;
 pub mod lookups;
-pub mod questions;
-pub mod reach;
+pub mod queries;
+pub mod report_load;
 pub mod reports;
 pub mod serve;
-pub mod standing;
 pub mod submissions;
 
 #[cfg(test)]
@@ -17,13 +17,13 @@
 use crate::cluster::Cluster;
 use crate::http::Client;
 use crate::net::Net;
-use crate::node::doors::ReportLoad;
+use crate::node::report_load::ReportLoad;
 use crate::store::Store;
-use copperhaven_core::lookups::LookupLimiter;
-use copperhaven_core::pace::RateLimiter;
+use copperhaven_core::lookup_limiter::LookupLimiter;
+use copperhaven_core::rate_limiter::RateLimiter;
 use copperhaven_core::settings::Settings;
-use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::MachineType;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::names::Names;
 use copperhaven_wire::cloud::WireMachineType;
 use std::collections::BTreeSet;
@@ -70,9 +70,9 @@
     /// Requests refused for being too many, by what was bounded; for the metrics.
     pub refusal_counts: [AtomicU64; 3],
     report_load: Mutex<ReportLoad>,
-    pub(super) connectivity: reach::ConnectivityLock,
+    pub(super) connectivity: connectivity::ConnectivityLock,
     seat: OnceLock<String>,
-    pub direct_orders: directly::DirectOrders,
+    pub direct_orders: direct_orders::DirectOrders,
     /// When this controller last gave its term up to have the records read anew.
     anew: Mutex<Option<u64>>,
 }
@@ -103,7 +103,7 @@
             cloud: Cloud::new(net.clone(), settings.endpoints.cloud.clone()),
             worker_client: Client::with_net(net.clone(), 1),
             net,
-            direct_orders: directly::DirectOrders::new(&settings),
+            direct_orders: direct_orders::DirectOrders::new(&settings),
             anew: Mutex::default(),
             settings: Arc::new(settings),
             start: Instant::now(),
@@ -151,7 +151,11 @@
     }
 
     /// Runs `f` on the cell of this term; the flag says whether the leader is in authority.
-    pub fn with_leader_state<T>(&self, term: u64, f: impl FnOnce(&mut LeaderState, bool) -> T) -> Option<T> {
+    pub fn with_leader_state<T>(
+        &self,
+        term: u64,
+        f: impl FnOnce(&mut LeaderState, bool) -> T,
+    ) -> Option<T> {
         let now = self.now();
         let mut state = self.state.lock().expect("lock");
         let lead = self.has_authority(&state, now);
--- a/crates/controller/src/node/questions.rs
+++ b/crates/controller/src/node/queries.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::reply::Reply;
 use crate::store::StoreError;
-use copperhaven_core::questions::final_status;
+use copperhaven_core::job_status::final_status;
 use copperhaven_core::records::{FinalRecord, JobRecord};
 use copperhaven_wire::jobs::{self, JobStatus};
 use std::time::Duration;
@@ -15,7 +15,11 @@
     /// What is known of a job in memory.
     pub(super) fn job_in_memory(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
         self.with_leader_state(term, |c, _| {
-            if c.jobs.contains_name(uid) || c.final_records.contains(uid) { Some(c.job_status(uid)) } else { None }
+            if c.jobs.contains_name(uid) || c.final_records.contains(uid) {
+                Some(c.job_status(uid))
+            } else {
+                None
+            }
         })
         .flatten()
     }
@@ -23,7 +27,8 @@
     /// Why this leader has set a job aside, if it has.
     pub(super) fn unreadable_job_reason(&self, uid: &str) -> Option<String> {
         let term = self.term()?;
-        self.with_leader_state(term, |c, _| c.unreadable.job_reason(uid).map(ToString::to_string)).flatten()
+        self.with_leader_state(term, |c, _| c.unreadable.job_reason(uid).map(ToString::to_string))
+            .flatten()
     }
 
     pub(super) async fn show(&self, body: &[u8]) -> Reply {
@@ -48,7 +53,9 @@
         match past {
             // Whatever was accepted and is not over should be in the memory of a leader in
             // authority; what could not be read in (other settings now) is still on record.
-            Ok(None) if self.can_serve_as_leader(false) && self.job_in_memory(term, uid).is_none() => {
+            Ok(None)
+                if self.can_serve_as_leader(false) && self.job_in_memory(term, uid).is_none() =>
+            {
                 return self.read_both(uid).await;
             }
             _ => self.lookups.lock().expect("lock").refund(2),
@@ -67,9 +74,12 @@
         if let Some(shown) = known.await {
             return Reply::new(200, &shown);
         }
-        let accepted =
-            self.with_leader_state(term, |c, _| c.job(uid).is_some_and(|(id, j)| c.is_accepted(id, j)));
-        if accepted == Some(true) && !self.is_state_service_down() && self.try_reserve_lookups(uid, 2) {
+        let accepted = self
+            .with_leader_state(term, |c, _| c.job(uid).is_some_and(|(id, j)| c.is_accepted(id, j)));
+        if accepted == Some(true)
+            && !self.is_state_service_down()
+            && self.try_reserve_lookups(uid, 2)
+        {
             return self.read_both(uid).await;
         }
         Reply::later("being recorded", 1)
@@ -83,7 +93,10 @@
         }
         // Who lacks both the leader and the state service says so at once.
         if self.is_state_service_down() {
-            return Reply { close_connection: true, ..Reply::later("the state service is out of reach", 1) };
+            return Reply {
+                close_connection: true,
+                ..Reply::later("the state service is out of reach", 1)
+            };
         }
         if !self.try_reserve_lookups(uid, 2) {
             return self.refuse_over_limit(2);
@@ -113,7 +126,9 @@
                 let cancelled = match (record.cancelled, record.dependency_wait) {
                     (true, _) => Some(true),
                     (false, None) => Some(false),
-                    (false, Some(waits)) if waits.parts == 0 => self.any_cancelled(waits.dependencies).await,
+                    (false, Some(waits)) if waits.parts == 0 => {
+                        self.any_cancelled(waits.dependencies).await
+                    }
                     _ => None,
                 };
                 let Some(cancelled) = cancelled else { return later };
@@ -148,6 +163,9 @@
             Ok(None) | Err(_) => return None,
         };
         let why = "its record can't be read: it is known, and starts once that is mended";
-        Some(Reply::new(200, &JobStatus { reason: Some(why.into()), ..JobStatus::new(uid, status) }))
+        Some(Reply::new(
+            200,
+            &JobStatus { reason: Some(why.into()), ..JobStatus::new(uid, status) },
+        ))
     }
 }
--- a/crates/controller/src/node/reports.rs
+++ b/crates/controller/src/node/reports.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::node::serve::STATUS_MISDIRECTED;
 use crate::reply::Reply;
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::workers::reports::ReportOutcome;
 use copperhaven_wire::workers::Report;
 use std::time::Duration;
@@ -73,12 +73,15 @@
             None => return none,
         };
         // Passes are dear; reports that come in close to one another share one.
-        let pause = self.with_leader_state(term, |c, lead| c.ms_until_next_pass(now).filter(|_| lead)).flatten();
+        let pause = self
+            .with_leader_state(term, |c, lead| c.ms_until_next_pass(now).filter(|_| lead))
+            .flatten();
         if let Some(pause) = pause {
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
         self.place_if_due(term);
-        let ready = |c: &mut LeaderState, lead: bool| (!lead || c.can_send_orders(mid)).then_some(());
+        let ready =
+            |c: &mut LeaderState, lead: bool| (!lead || c.can_send_orders(mid)).then_some(());
         self.wait_until(term, REPORT_LIMIT, ready).await;
         if !self.can_serve_as_leader(true) {
             return none;
--- a/crates/controller/src/node/serve.rs
+++ b/crates/controller/src/node/serve.rs
@@ -20,7 +20,8 @@
     pub async fn handle_request(&self, op: Op, body: &[u8]) -> Reply {
         // More at once than can be served in time is refused at once, but workers' reports, on
         // which their leases hang, never wait behind users.
-        let (slots, why) = if op == Op::Show { (&self.query_slots, 1) } else { (&self.request_slots, 0) };
+        let (slots, why) =
+            if op == Op::Show { (&self.query_slots, 1) } else { (&self.request_slots, 0) };
         let slot = (op != Op::Report).then(|| slots.try_acquire());
         if matches!(slot, Some(Err(_))) {
             return self.refuse_over_limit(why);
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -2,10 +2,10 @@
 
 use crate::node::Node;
 use crate::reply::Reply;
-use copperhaven_core::admission::shape::resolve_spec;
-use copperhaven_core::pipelines::awaits::{DependencyCheck, DependencyState};
-use copperhaven_core::questions::final_status;
-use copperhaven_core::state::served;
+use copperhaven_core::admission::feasibility::resolve_spec;
+use copperhaven_core::job_status::final_status;
+use copperhaven_core::pipelines::submission::{DependencyCheck, DependencyState};
+use copperhaven_core::state::fairness_accounting;
 use copperhaven_fairness::ledger::Refusal;
 use copperhaven_wire::jobs::{self, JobStatus};
 use std::collections::HashMap;
@@ -53,7 +53,9 @@
                 None => return Reply::later("the leader has changed", 1),
             };
             let ask = match (taken, &peeked) {
-                (Admission::Admitted(uid), _) => return self.reply_when_recorded(term, &uid, 201).await,
+                (Admission::Admitted(uid), _) => {
+                    return self.reply_when_recorded(term, &uid, 201).await;
+                }
                 (Admission::Refused(refusal), None) => return refusal,
                 // A repeat of a job that is over gets its state, whatever else could be said of
                 // it. What is taken in needs no look-up: its record is conditional on there being
@@ -116,7 +118,7 @@
                 }
             };
             if !c.has_memory_for(spec.team, spec.tasks) {
-                c.fairness_ledger.submission_refused(served::fairness_pair(&spec), Refusal::Memory);
+                c.fairness_ledger.submission_refused(fairness_accounting::fairness_pair(&spec), Refusal::Memory);
                 return Err(Reply::later("more tasks than fit into memory", jittered_retry_s(15)));
             }
             // Types that the cloud doesn't have can't matter, and a long list of them would not
@@ -155,7 +157,7 @@
                 Err(_) if dead => vec![0; c.pool_count()],
                 Ok(routed) => routed,
                 Err(nu) => {
-                    c.fairness_ledger.submission_refused(served::fairness_pair(&spec), Refusal::Index);
+                    c.fairness_ledger.submission_refused(fairness_accounting::fairness_pair(&spec), Refusal::Index);
                     tracing::info!("refuse {uid}: lowest index {nu:.6} reaches the rejection cost");
                     let reply = Reply::error(429, "its deadline cannot be met now");
                     return Err(Reply { retry_after: 10, ..reply });
@@ -191,7 +193,8 @@
 
     /// Answers once the job's record is safe.
     pub(super) async fn reply_when_recorded(&self, term: u64, uid: &str, status: u16) -> Reply {
-        match self.wait_until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|_| lead)).await {
+        match self.wait_until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|_| lead)).await
+        {
             // Known after all, and over: not created by this request.
             Some(shown) if shown.status == "done" || shown.status == "aborted" => {
                 Reply::new(200, &shown)
@@ -222,7 +225,8 @@
         }
         self.notify_dirty();
         let over = |s: &JobStatus| s.status == "aborted" || s.status == "done";
-        let shown = self.wait_until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|s| lead && over(s)));
+        let shown = self
+            .wait_until(term, USER_LIMIT, |c, lead| c.job_status(uid).filter(|s| lead && over(s)));
         match shown.await {
             Some(shown) => Reply::new(200, &shown),
             None => Reply::later("not recorded in time", 1),
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,9 +1,9 @@
-use super::doors::ReportLoad;
+use super::report_load::ReportLoad;
 use super::submissions::Admission;
 use super::*;
 use crate::cluster::frames::Op;
 use crate::store::StoreError;
-use copperhaven_core::pipelines::awaits::DependencyState;
+use copperhaven_core::pipelines::submission::DependencyState;
 use copperhaven_wire::{encode, jobs};
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -13,7 +13,8 @@
     let node = Node::new(copperhaven_core::for_tests::sample_settings());
     let cell = copperhaven_core::for_tests::cell();
     let term = cell.term;
-    let mut state = NodeState { cell: Some(cell), lease_renewed_ms: 10_000, ..NodeState::default() };
+    let mut state =
+        NodeState { cell: Some(cell), lease_renewed_ms: 10_000, ..NodeState::default() };
     let ttl = node.settings.tuning.leader_lease_ms;
     let hold = node.settings.renewal_grace_ms();
     for (at, authority, holding) in [
@@ -44,7 +45,8 @@
         cell.mark_job_saved_for_test(id);
     }
     let renewed = node.now();
-    *node.state.lock().expect("lock") = NodeState { cell: Some(cell), lease_renewed_ms: renewed, ..NodeState::default() };
+    *node.state.lock().expect("lock") =
+        NodeState { cell: Some(cell), lease_renewed_ms: renewed, ..NodeState::default() };
     let body = |n: usize, awaits: &[String]| jobs::JobBody {
         depends_on: Some(awaits.to_vec()),
         ..copperhaven_core::for_tests::body(&format!("wk-{n}"))
@@ -56,7 +58,10 @@
     }
     // One that nobody knows has to be looked up first, and is refused only then.
     let strange = encode(&body(7, &["wk-7777".into()]));
-    assert!(matches!(node.admit(term, &strange, &HashMap::new()), Some(Admission::NeedsLookup(..))));
+    assert!(matches!(
+        node.admit(term, &strange, &HashMap::new()),
+        Some(Admission::NeedsLookup(..))
+    ));
     let read = HashMap::from([("wk-7777".to_string(), DependencyState::NeverAccepted)]);
     let taken = node.admit(term, &strange, &read);
     assert!(matches!(taken, Some(Admission::Refused(r)) if r.status == 422));
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::frames::{ANSWER, Header, Op, PING, read_frame};
 use crate::cluster::{MAX_IN_FLIGHT, PeerLink, PeerView};
-use crate::listen::{ListenError, BIND_TIMEOUT, listen};
+use crate::listen::{BIND_TIMEOUT, ListenError, listen};
 use crate::metrics;
 use crate::node::Node;
 use crate::reply::Reply;
--- a/crates/controller/src/dealings.rs
+++ b/crates/controller/src/provisioning.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::store::CommitOutcome;
-use copperhaven_core::pace::RateLimiter;
+use copperhaven_core::rate_limiter::RateLimiter;
 use copperhaven_core::records::{
     Change, Condition, LEADER_KEY, PROVIDED_KEY, ProvidedRecord, Record, RentalRecord,
 };
@@ -19,7 +19,10 @@
         c.on_machine_list(&hosts, now);
         (c.count_provided(&hosts), c.write_queue.leader_condition.revision)
     })?;
-    let when = [Condition { path: LEADER_KEY.into(), revision: stamp }, Condition { path: PROVIDED_KEY.into(), revision: 0 }];
+    let when = [
+        Condition { path: LEADER_KEY.into(), revision: stamp },
+        Condition { path: PROVIDED_KEY.into(), revision: 0 },
+    ];
     let v = Record::Provided(ProvidedRecord { machines });
     let apply = [Change::Put { path: PROVIDED_KEY.into(), value: v, lease_id: None }];
     match node.store.commit(&when, &apply).await {
@@ -81,7 +84,9 @@
         while rentals.try_join_next().is_some() {}
         while returning.try_join_next().is_some() {}
         while listing.try_join_next().is_some() {}
-        if node.with_leader_state(term, |c, lead| lead && c.fleet.provided_machines.is_none()) == Some(true) {
+        if node.with_leader_state(term, |c, lead| lead && c.fleet.provided_machines.is_none())
+            == Some(true)
+        {
             if pace.try_take()
                 && let Some(n) = survey(&node, term).await
             {
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,6 +1,6 @@
 //! The state service by its protocol: reads, transactions, leases.
 
-use crate::http::{HttpResponse, CallError, Client};
+use crate::http::{CallError, Client, HttpResponse};
 use crate::net::Net;
 use copperhaven_core::records::{Change, Condition};
 use copperhaven_wire::encode;
@@ -217,10 +217,12 @@
         let body = encode(&Body { when, apply });
         match self.http.call(Method::POST, &self.addr, "/commit", Some(body), COMMIT).await {
             Ok(a) => match a.status {
-                200 => a.decode::<Rev>().map_or(CommitOutcome::Unknown, |r| CommitOutcome::Applied(r.rev)),
-                409 => {
-                    a.decode::<Failed>().map_or(CommitOutcome::Unknown, |f| CommitOutcome::Conflict(f.failed))
-                }
+                200 => a
+                    .decode::<Rev>()
+                    .map_or(CommitOutcome::Unknown, |r| CommitOutcome::Applied(r.rev)),
+                409 => a
+                    .decode::<Failed>()
+                    .map_or(CommitOutcome::Unknown, |f| CommitOutcome::Conflict(f.failed)),
                 400 => {
                     let text = String::from_utf8_lossy(&a.body);
                     if text.contains("no such lease") {
@@ -277,8 +279,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use copperhaven_core::records::{DoneTasksRecord, FinalRecord, JobRecord, MachineRecord};
     use copperhaven_core::records::{DependenciesRecord, RentalRecord};
+    use copperhaven_core::records::{DoneTasksRecord, FinalRecord, JobRecord, MachineRecord};
     use std::collections::BTreeMap;
 
     /// A page with one record of another kind, or with something else under its key.
@@ -335,6 +337,9 @@
             let jobs = page(&[("j/wk-1", wrong.clone())]);
             assert_eq!(bad::<JobRecord>(&jobs), (0, vec!["j/wk-1".to_string()], true), "{wrong}");
         }
-        assert!(Page::<Lenient<DoneTasksRecord>>::read(b"\x93\x01").is_none(), "a torn answer is none");
+        assert!(
+            Page::<Lenient<DoneTasksRecord>>::read(b"\x93\x01").is_none(),
+            "a torn answer is none"
+        );
     }
 }
--- a/crates/controller/tests/architecture.rs
+++ b/crates/controller/tests/architecture.rs
@@ -96,10 +96,10 @@
     out
 }
 
-/// The names of the methods that a file adds to `Cell`.
-fn cell_methods(code: &str) -> BTreeSet<&str> {
+/// The names of the methods that a file adds to `LeaderState`.
+fn leader_state_methods(code: &str) -> BTreeSet<&str> {
     let mut out = BTreeSet::new();
-    for part in code.split("\nimpl Cell {").skip(1) {
+    for part in code.split("\nimpl LeaderState {").skip(1) {
         let body = part.split("\n}").next().unwrap_or_default();
         for line in body.lines().filter(|l| l.starts_with("    ") && !l.starts_with("     ")) {
             if let Some((_, f)) = line.split_once("fn ") {
@@ -110,11 +110,11 @@
     out
 }
 
-/// Which file needs which: by what it names, and by methods of `Cell` that another one adds.
+/// Which file needs which: by what it names, and by methods of `LeaderState` that another one adds.
 fn edges(files: &BTreeMap<String, String>) -> BTreeMap<&str, BTreeSet<&str>> {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for (module, code) in files {
-        owners.extend(cell_methods(code).into_iter().map(|m| (m, module.as_str())));
+        owners.extend(leader_state_methods(code).into_iter().map(|m| (m, module.as_str())));
     }
     let mut out: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     for (module, code) in files {
@@ -129,9 +129,9 @@
                 path = shorter.to_string();
             }
         }
-        let is_cell = code.contains("\nimpl Cell {");
-        for receiver in ["self.", "cell.", "c."] {
-            if receiver == "self." && !is_cell {
+        let is_leader_state = code.contains("\nimpl LeaderState {");
+        for receiver in ["self.", "leader.", "cell.", "c."] {
+            if receiver == "self." && !is_leader_state {
                 continue;
             }
             for (at, _) in code.match_indices(receiver) {
@@ -198,8 +198,8 @@
         (&[("a", "fn f() { crate::b::g(1) }"), ("b", "use crate::{a, c};"), ("c", "")], 2),
         (
             &[
-                ("a", "\nimpl Cell {\n    pub fn f(&self) {\n        self.g();\n    }\n}"),
-                ("b", "\nimpl Cell {\n    fn g(&self) {\n        self.f();\n    }\n}"),
+                ("a", "\nimpl LeaderState {\n    pub fn f(&self) {\n        self.g();\n    }\n}"),
+                ("b", "\nimpl LeaderState {\n    fn g(&self) {\n        self.f();\n    }\n}"),
             ],
             2,
         ),
--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -25,8 +25,8 @@
 
 use checker::{CANCEL, Checker};
 use cloud::Cloud;
+use copperhaven::api;
 use copperhaven::cluster::frames::Op;
-use copperhaven::front;
 use copperhaven::leadership;
 use copperhaven::node::Node;
 use copperhaven::peers;
@@ -249,12 +249,17 @@
         };
         let uri = path.parse().expect("a path");
         let request = Request::builder().method(method).uri(uri).body(body.to_vec());
-        let response = front::routes(self.node(to)).get_response(request).await;
+        let response = api::routes(self.node(to)).get_response(request).await;
         let header = |name| response.header(name).unwrap_or_default().to_string();
         let (retry_after, close) = (header("retry-after"), header("connection") == "close");
         let status = response.status().as_u16();
         let body = response.into_body().into_vec().await.expect("a body");
-        Reply { status, retry_after: retry_after.parse().unwrap_or(0), body, close_connection: close }
+        Reply {
+            status,
+            retry_after: retry_after.parse().unwrap_or(0),
+            body,
+            close_connection: close,
+        }
     }
 
     fn open_peer(self: &Arc<Self>, ix: usize) {
@@ -268,7 +273,8 @@
     /// Where the balancer sends a user's `n`th connection: to one that is up, if any is.
     pub fn balanced(&self, n: usize) -> usize {
         let all = 0..self.count();
-        let up: Vec<usize> = all.filter(|ix| !self.is_down(*ix) && self.node(*ix).is_ready()).collect();
+        let up: Vec<usize> =
+            all.filter(|ix| !self.is_down(*ix) && self.node(*ix).is_ready()).collect();
         if up.is_empty() { n % self.count() } else { up[n % up.len()] }
     }
 
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -7,7 +7,7 @@
 use copperhaven::reply::Reply;
 use copperhaven_core::for_tests;
 use copperhaven_wire::encode;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind, JobStatus};
+use copperhaven_wire::jobs::{JobBody, JobKind, JobStatus, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -83,17 +83,12 @@
         let cargo = format!("img-{}", n % 3);
         let yard = Some(["north", "south", "west"][(n % 3) as usize].to_string());
         let plain = JobBody { team: owner, image: cargo, image_gb: 0.4, ..plain };
-        let gang = JobBody { kind: JobKind::Gang, class: "gang".into(), cpus: 2.0, ..plain.clone() };
+        let gang =
+            JobBody { kind: JobKind::Gang, class: "gang".into(), cpus: 2.0, ..plain.clone() };
         match n % 11 {
             0 | 1 => plain,
             2 => JobBody { tasks: 3, ..gang },
-            3 => JobBody {
-                tasks: 2,
-                cpus: 4.0,
-                one_zone: true,
-                priority: Priority::High,
-                ..gang
-            },
+            3 => JobBody { tasks: 2, cpus: 4.0, one_zone: true, priority: Priority::High, ..gang },
             4 => JobBody { tasks: 4, class: "zone".into(), zone: yard, ..plain },
             5 => JobBody {
                 tasks: 3,
@@ -397,8 +392,9 @@
 async fn poll(world: Arc<World>, uid: String, n: usize) {
     for attempt in n.. {
         sleep(Duration::from_secs(5)).await;
-        let up: Vec<usize> =
-            (0..world.count()).filter(|ix| !world.is_down(*ix) && world.node(*ix).is_ready()).collect();
+        let up: Vec<usize> = (0..world.count())
+            .filter(|ix| !world.is_down(*ix) && world.node(*ix).is_ready())
+            .collect();
         if up.is_empty() {
             continue;
         }
--- a/crates/controller/tests/world/workers.rs
+++ b/crates/controller/tests/world/workers.rs
@@ -7,7 +7,7 @@
 use copperhaven::cluster::frames::Op;
 use copperhaven_wire::encode;
 use copperhaven_wire::jobs::JobKind;
-use copperhaven_wire::workers::{TaskReport, Report};
+use copperhaven_wire::workers::{Report, TaskReport};
 use rand::Rng;
 use serde::Deserialize;
 use serde_json::json;
--- a/crates/core/benches/leader.rs
+++ b/crates/core/benches/leader.rs
@@ -4,17 +4,19 @@
 //! Machines of 32 CPUs, all full of running tasks; as many open jobs as machines, gangs and arrays in turn,
 //! that wait. One core; no state service, no sockets.
 
-use copperhaven_core::admission::shape::resolve_spec;
-use copperhaven_core::for_tests::{START_MS, TEAMS_LINE, TERM, body, large_machine_type, report, sample_settings_with};
-use copperhaven_core::records::{Condition, JobRecord, MachineRecord, AssignmentRecord};
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::admission::feasibility::resolve_spec;
+use copperhaven_core::for_tests::{
+    START_MS, TEAMS_LINE, TERM, body, large_machine_type, report, sample_settings_with,
+};
+use copperhaven_core::records::{AssignmentRecord, Condition, JobRecord, MachineRecord};
 use copperhaven_core::state::fleet::MachineType;
-use copperhaven_core::state::ledger::RecordKey;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::names::{JobId, Names};
+use copperhaven_core::state::write_queue::RecordKey;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::ReportOutcome;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
-use copperhaven_wire::workers::{TaskReport, Report};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
+use copperhaven_wire::workers::{Report, TaskReport};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
 use std::sync::Arc;
@@ -54,7 +56,13 @@
 
 fn told(i: usize, tally: u64, parcels: Vec<TaskReport>) -> Report {
     let berth = "large".into();
-    Report { machine: name(i), addr: addr(i), machine_type: berth, tasks: parcels, ..report(1, tally, TERM, &[]) }
+    Report {
+        machine: name(i),
+        addr: addr(i),
+        machine_type: berth,
+        tasks: parcels,
+        ..report(1, tally, TERM, &[])
+    }
 }
 
 fn empty(machines: usize) -> LeaderState {
@@ -66,7 +74,8 @@
     let settings = Arc::new(sample_settings_with(&[(TEAMS_LINE, &teams)]));
     let mut names = Names::new(&settings);
     names.types.intern("large");
-    let flavors = vec![MachineType::from_wire(&large_machine_type(&["north", "south"]), &mut names)];
+    let flavors =
+        vec![MachineType::from_wire(&large_machine_type(&["north", "south"]), &mut names)];
     let leader = Condition { path: "c/leader".into(), revision: 5 };
     let mut c = LeaderState::new(settings, TERM, leader, START_MS, names, flavors);
     c.fleet.provided_machines = Some(0);
@@ -95,7 +104,9 @@
     let mut c = empty(machines);
     let id = insert(&mut c, busy(machines));
     for i in 0..machines {
-        let ReportOutcome::Answer(mid) = c.on_report(&told(i, 1, vec![]), START_MS) else { panic!("taken") };
+        let ReportOutcome::Answer(mid) = c.on_report(&told(i, 1, vec![]), START_MS) else {
+            panic!("taken")
+        };
         let attempt = c.new_attempt();
         (0..8).for_each(|t| c.assign(mid, id, (i * 8 + t) as u32, attempt, START_MS));
     }
@@ -146,13 +157,34 @@
 fn records(size: usize) -> Records {
     let record = |job: JobBody| {
         let path = format!("j/{}", job.uid);
-        (path, JobRecord { job, accepted_at_ms: 1, cancelled: false, dependency_wait: None, eligible_at_ms: None }, 7)
+        (
+            path,
+            JobRecord {
+                job,
+                accepted_at_ms: 1,
+                cancelled: false,
+                dependency_wait: None,
+                eligible_at_ms: None,
+            },
+            7,
+        )
     };
     let jobs = (0..size).map(job).chain([busy(size)]).map(record).collect();
     let machine = |i: usize| {
-        let on = vec![AssignmentRecord { job: BUSY.into(), attempt: 9, task_ranges: vec![i as u32 * 8, 8] }];
+        let on = vec![AssignmentRecord {
+            job: BUSY.into(),
+            attempt: 9,
+            task_ranges: vec![i as u32 * 8, 8],
+        }];
         let (berth, yard) = ("large".into(), "north".into());
-        let r = MachineRecord { addr: addr(i), machine_type: berth, zone: yard, spot: false, session: 1, assignments: on };
+        let r = MachineRecord {
+            addr: addr(i),
+            machine_type: berth,
+            zone: yard,
+            spot: false,
+            session: 1,
+            assignments: on,
+        };
         (format!("m/{}", name(i)), r, 7)
     };
     Records { jobs, machines: (0..size).map(machine).collect(), ..Records::default() }
--- a/crates/core/examples/flood.rs
+++ b/crates/core/examples/flood.rs
@@ -6,16 +6,18 @@
 //! four times over, a state service of 250 changes a second. Times are this machine's, of one core; without
 //! arguments the sizes of the table in `docs/results.md`.
 
-use copperhaven_core::admission::shape::resolve_spec;
-use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, body, large_machine_type, report, sample_settings_with};
+use copperhaven_core::admission::feasibility::resolve_spec;
+use copperhaven_core::for_tests::{
+    OBJECTIVES_LINE, TEAMS_LINE, body, large_machine_type, report, sample_settings_with,
+};
 use copperhaven_core::records::Condition;
-use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::MachineType;
-use copperhaven_core::state::ledger::RecordKey;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::names::Names;
+use copperhaven_core::state::write_queue::RecordKey;
 use copperhaven_core::workers::reports::ReportOutcome;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
-use copperhaven_wire::workers::{Order, TaskReport, Report};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
+use copperhaven_wire::workers::{Order, Report, TaskReport};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -136,7 +138,8 @@
         };
         (b.class, b.kind, b.priority, b.tasks) = (name.into(), shape, precedence, tasks);
         (b.cpus, b.mem_gb, b.image_gb, b.estimate_s) = (cpus, mem, gb, run);
-        (b.checkpoint_interval_s, b.checkpoint_save_s) = if kind == 1 { (0.0, 0.0) } else { (30.0, 3.0) };
+        (b.checkpoint_interval_s, b.checkpoint_save_s) =
+            if kind == 1 { (0.0, 0.0) } else { (30.0, 3.0) };
         b.deadline_s = (kind == 1).then_some(run * 4.0);
         self.jobs.insert(b.uid.clone(), (b.image.clone(), (run * 1000.0) as u64, kind == 0));
         let (now, cell) = (self.now, &mut self.cell);
--- a/crates/core/examples/memory.rs
+++ b/crates/core/examples/memory.rs
@@ -6,7 +6,7 @@
 //! process's resident memory before and after (Linux).
 
 use copperhaven_core::for_tests;
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 
 fn resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/core/src/admission/index.rs
+++ b/crates/core/src/admission/index.rs
@@ -5,8 +5,8 @@
 //! ν = 1 − μ/(μ+θ)·(mμ/(mμ+θ))^max(j,0). The code keeps ln(1−ν): a huge queue rounds ν to 1,
 //! but not its logarithm, so that order and `ν < 1` survive.
 
-use crate::state::cell::LeaderState;
 use crate::state::job::{EPS, JobSpec};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 
 /// ln(1−ν); minus infinity where ν is 1. The lowest ν has the highest value.
@@ -180,7 +180,12 @@
 
     /// The same, where what all pools have and are asked for is known: many at once don't look through all
     /// machines and jobs each.
-    pub fn admit_with_load(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
+    pub fn admit_with_load(
+        &self,
+        all: &PoolLoad,
+        spec: &JobSpec,
+        now: u64,
+    ) -> Result<Vec<u32>, f64> {
         self.admit_views(self.views_of(all, spec, now), spec, 0.0)
     }
 
@@ -216,7 +221,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::state::rates::RunTimes;
+    use crate::state::run_times::RunTimes;
 
     /// The miss probability by numerical integration, independent of the closed form: the wait
     /// is Erlang(j, mμ), the run exponential, the deadline exponential. P(meet) is
@@ -268,7 +273,10 @@
         // No slot at all: certain to miss.
         assert_eq!(ln_meet_probability(0.0, 0.0, 0.05, 0.01), f64::NEG_INFINITY);
         // Where ν rounds to 1, the order and `ν < 1` must survive (huge arrays).
-        let (a, b) = (ln_meet_probability(4.0, 90_000.0, 0.05, 0.02), ln_meet_probability(4.0, 90_001.0, 0.05, 0.02));
+        let (a, b) = (
+            ln_meet_probability(4.0, 90_000.0, 0.05, 0.02),
+            ln_meet_probability(4.0, 90_001.0, 0.05, 0.02),
+        );
         assert!(miss_probability(a) == 1.0 && a > b && b.is_finite());
         assert!(admits(b, 1.0) && !admits(b, 0.999) && admits(b, 1.1));
         assert!(!admits(f64::NEG_INFINITY, 1.0));
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,4 +1,4 @@
 //! Whether a submission can run at all (`shape`), and whether and where it should (`index`).
 
+pub mod feasibility;
 pub mod index;
-pub mod shape;
--- a/crates/core/src/boots.rs
+++ b/crates/core/src/boot_tracking.rs
@@ -1,7 +1,7 @@
 //! Machines that boot, those that are overdue, and zones from which nothing is heard.
 
-use crate::state::cell::LeaderState;
 use crate::state::fleet::{Booting, RentalKind};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 use std::collections::HashSet;
 
@@ -49,7 +49,8 @@
         let (mut names, mut places) = (vec![], HashSet::new());
         for (name, b) in &self.fleet.booting {
             let nominal = self.machine_types[b.machine_type.index()].boot_s;
-            let due = b.requested_at + self.fleet.boot_deadline_ms(b.machine_type, b.zone, nominal, now);
+            let due =
+                b.requested_at + self.fleet.boot_deadline_ms(b.machine_type, b.zone, nominal, now);
             // To a new leader the list shows machines that are up and have not reported to it yet.
             let due = due.max(b.known_since + self.report_timeout_ms());
             if now > due {
@@ -70,8 +71,9 @@
         let (overdue, late) = self.overdue_boots(now);
         let elsewhere = |b: &Booting| {
             let zones = &self.machine_types[b.machine_type.index()].zones;
-            let sound =
-                |z: &&ZoneId| !late.contains(&(b.machine_type, **z)) && !self.fleet.silent_zones.contains_key(*z);
+            let sound = |z: &&ZoneId| {
+                !late.contains(&(b.machine_type, **z)) && !self.fleet.silent_zones.contains_key(*z)
+            };
             zones.iter().any(|z| sound(&z))
         };
         let others = self.machines.len() + self.fleet.booting.len() - overdue.len();
@@ -100,8 +102,9 @@
             .iter()
             .map(|(zone, (_, tried))| (*zone, *tried))
             .find(|(_, tried)| now > tried + PROBE_MS)?;
-        let cheapest =
-            |a: &usize, b: &usize| self.machine_types[*a].hourly.total_cmp(&self.machine_types[*b].hourly);
+        let cheapest = |a: &usize, b: &usize| {
+            self.machine_types[*a].hourly.total_cmp(&self.machine_types[*b].hourly)
+        };
         let there = |i: &usize| self.machine_types[*i].zones.contains(&zone);
         let kind = (0..self.machine_types.len()).filter(there).min_by(cheapest)?;
         if let Some((_, tried)) = self.fleet.silent_zones.get_mut(&zone) {
--- a/crates/core/src/caution.rs
+++ b/crates/core/src/commit_throttle.rs
@@ -1,6 +1,6 @@
 //! What refused transactions teach a leader of the state service's limits.
 
-use crate::state::ledger::Batch;
+use crate::state::write_queue::Batch;
 
 /// What refused transactions teach: the state service may take less than the settings say.
 #[derive(Debug)]
@@ -17,7 +17,12 @@
 
 impl CommitThrottle {
     pub fn new(ops: usize) -> CommitThrottle {
-        CommitThrottle { max_ops: ops, single_record_txns: 0, suspect: (0, false), rate_factor: 1.0 }
+        CommitThrottle {
+            max_ops: ops,
+            single_record_txns: 0,
+            suspect: (0, false),
+            rate_factor: 1.0,
+        }
     }
 
     pub fn on_malformed(&mut self, batch: &Batch, sole: bool) {
@@ -25,7 +30,8 @@
             self.suspect.1 = true;
             self.single_record_txns = self.single_record_txns.saturating_sub(1);
         } else {
-            (self.single_record_txns, self.suspect) = (batch.keys.len(), (batch.changes.len(), false));
+            (self.single_record_txns, self.suspect) =
+                (batch.keys.len(), (batch.changes.len(), false));
         }
     }
 
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -1,15 +1,15 @@
 //! What to rent for the work that waits.
 
-use crate::placement::order::RankedJob;
+use crate::placement::capacity::FreeCapacity;
 use crate::placement::pass::FailedSearches;
-use crate::placement::slots::FreeCapacity;
-use crate::state::cell::LeaderState;
-use crate::state::fleet::{RentalKind, OVERDUE_COST_FACTOR};
+use crate::placement::ranking::RankedJob;
+use crate::state::fleet::{OVERDUE_COST_FACTOR, RentalKind};
 use crate::state::job::{EPS, JobSpec};
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::ObservedState;
 use crate::state::names::*;
-use crate::state::teams::{UsageByPriority, Usage};
-use copperhaven_fairness::need::DeficitLevel;
+use crate::state::team_usage::{Usage, UsageByPriority};
+use copperhaven_fairness::deficit::DeficitLevel;
 use copperhaven_wire::jobs::JobKind;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -50,10 +50,14 @@
     }
 
     /// The same, and the machines on which jobs that are soon ready were laid.
-    pub(crate) fn rental_demand_and_retained(&self, now: u64) -> (Vec<(RentalKind, u32)>, HashSet<MachineId>) {
+    pub(crate) fn rental_demand_and_retained(
+        &self,
+        now: u64,
+    ) -> (Vec<(RentalKind, u32)>, HashSet<MachineId>) {
         let mut kept = HashSet::new();
         // After a takeover places that are there all the same count, though they were not heard of yet.
-        let mut slots: Vec<FreeCapacity> = self.free_capacity(now).into_iter().chain(self.unconfirmed_capacity(now)).collect();
+        let mut slots: Vec<FreeCapacity> =
+            self.free_capacity(now).into_iter().chain(self.unconfirmed_capacity(now)).collect();
         for s in &mut slots {
             // A machine held for a job gets free for it once the tasks there have stopped.
             if s.reserved.is_some() {
@@ -84,9 +88,11 @@
             };
             for ((id, _), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                let run = self.run_times.expected_run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
+                let run =
+                    self.run_times.expected_run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
                 let ran = now.saturating_sub(e.running_since) as f64 / 1000.0;
-                let running = e.observed == ObservedState::Running && job.spec.kind != JobKind::Service;
+                let running =
+                    e.observed == ObservedState::Running && job.spec.kind != JobKind::Service;
                 if e.stop_requested.is_some() || (running && run - ran < boot) {
                     s.release(&job.spec);
                 }
@@ -130,7 +136,13 @@
             .filter_map(|id| {
                 let team = self.jobs.get(&id)?.spec.team;
                 let (team_need, class_need) = (false, DeficitLevel::NONE);
-                Some(RankedJob { id, guaranteed: false, team, team_underserved: team_need, class_deficit: class_need })
+                Some(RankedJob {
+                    id,
+                    guaranteed: false,
+                    team,
+                    team_underserved: team_need,
+                    class_deficit: class_need,
+                })
             })
             .collect();
         for r in self.ranked_jobs(&needs, now).into_iter().chain(soon) {
@@ -138,7 +150,10 @@
             let spec = &job.spec;
             let early = !job.pending_dependencies.is_empty();
             // What may be on a machine already needs no other.
-            if job.waiting.is_empty() || now < job.retry_at || self.may_be_on_unreadable_machine(job) {
+            if job.waiting.is_empty()
+                || now < job.retry_at
+                || self.may_be_on_unreadable_machine(job)
+            {
                 continue;
             }
             let team = &self.settings.deployment.teams[spec.team.index()];
@@ -174,7 +189,11 @@
             let open = (!full.is_unplaceable(spec)).then(|| by_room.range(from..));
             let open = open.into_iter().flatten().map(|(_, i)| *i);
             for i in own.chain(open) {
-                let k = if slots[i].is_eligible_for(spec) { slots[i].fitting_tasks(spec).min(left) } else { 0 };
+                let k = if slots[i].is_eligible_for(spec) {
+                    slots[i].fitting_tasks(spec).min(left)
+                } else {
+                    0
+                };
                 if k > 0 {
                     found.push((i, k));
                     left -= k;
@@ -217,7 +236,8 @@
                         }
                         let each = fresh(what, 0).fitting_tasks(spec).max(1);
                         let machines = n.div_ceil(each);
-                        let late = if late.contains(&(*kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
+                        let late =
+                            if late.contains(&(*kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
                         let price = f64::from(machines) * f.price(spot).max(1e-6) * late;
                         let busy = out.get(&what).copied().unwrap_or(0) as usize;
                         if best.is_none_or(|(p, b, ..)| (price, busy) < (p, b)) {
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 pub mod demand;
 pub mod rentals;
 pub mod returns;
-pub mod standing;
+pub mod standing_capacity;
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/fleet/rentals.rs
+++ b/crates/core/src/fleet/rentals.rs
@@ -1,9 +1,9 @@
 //! Rentals: each recorded before it is asked for, under a name of its own.
 
 use crate::records::RentalRecord;
-use crate::state::cell::LeaderState;
 use crate::state::fleet::{Booting, Rental};
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::cloud::Host;
 use std::collections::HashSet;
 
@@ -29,7 +29,8 @@
             let name = format!("r-{}-{}", self.fleet.term, self.fleet.counter);
             let ver = self.mark_dirty(RecordKey::Rental(name.clone()));
             let number = number.min(50);
-            let rental = Rental { kind: what, number, ver, retry_at: 0, in_flight: false, resolved: false };
+            let rental =
+                Rental { kind: what, number, ver, retry_at: 0, in_flight: false, resolved: false };
             self.fleet.rentals.insert(name, rental);
         }
     }
@@ -68,7 +69,8 @@
         self.fleet.rentals.remove(name);
         self.mark_dirty(RecordKey::Delete(format!("r/{name}")));
         let got = hearths.as_ref().map_or(0, Vec::len);
-        let (kind, zone) = (self.names.types.name(what.0.index()), self.names.zones.name(what.1.index()));
+        let (kind, zone) =
+            (self.names.types.name(what.0.index()), self.names.zones.name(what.1.index()));
         let spot = if what.2 { " spot" } else { "" };
         tracing::info!("rent {name}: {got} of {number}{spot} {kind} in {zone} for waiting work");
         if got < number as usize {
@@ -80,7 +82,15 @@
             if !self.machines.contains_name(&h) && !self.fleet.gone.contains(&h) {
                 let (kind, zone, spot) = what;
                 let (since, known) = (now, now);
-                let b = Booting { machine_type: kind, zone, spot, requested_at: since, known_since: known, last_listed_at: 0, missed_lists: 0 };
+                let b = Booting {
+                    machine_type: kind,
+                    zone,
+                    spot,
+                    requested_at: since,
+                    known_since: known,
+                    last_listed_at: 0,
+                    missed_lists: 0,
+                };
                 self.fleet.booting.insert(h, b);
             }
         }
--- a/crates/core/src/fleet/returns.rs
+++ b/crates/core/src/fleet/returns.rs
@@ -1,6 +1,6 @@
 //! What is given back, and machines that the cloud has confirmed as gone.
 
-use crate::state::cell::LeaderState;
+use crate::state::leader_state::LeaderState;
 
 /// What a machine costs at least, however soon it is given back.
 const MIN_CHARGE_MS: u64 = 60_000;
@@ -27,7 +27,8 @@
             } else if m.reclaim_at.is_some() {
                 back.push((*mid, "the cloud takes it"));
             } else {
-                let keep = self.settings.tuning.idle_boots * self.machine_types[m.machine_type.index()].boot_s;
+                let keep = self.settings.tuning.idle_boots
+                    * self.machine_types[m.machine_type.index()].boot_s;
                 let unreserved = m.reserved.is_none_or(|(_, until)| now >= until);
                 // The first minute is paid for in any case.
                 let unreserved = unreserved && !self.fleet.retained_machines.contains(mid);
@@ -38,7 +39,11 @@
                 }
             }
         }
-        back.extend(self.unresponsive_machines_to_return(now).into_iter().map(|mid| (mid, "it does not hear")));
+        back.extend(
+            self.unresponsive_machines_to_return(now)
+                .into_iter()
+                .map(|mid| (mid, "it does not hear")),
+        );
         for (mid, why) in back {
             if let Some(m) = self.machines.get_mut(&mid) {
                 m.leaving = true;
--- a/crates/core/src/fleet/standing.rs
+++ b/crates/core/src/fleet/standing_capacity.rs
@@ -1,8 +1,8 @@
 //! What is kept up where every machine type boots too slowly for the objectives.
 
-use crate::state::cell::LeaderState;
-use crate::state::fleet::{RentalKind, OVERDUE_COST_FACTOR};
+use crate::state::fleet::{OVERDUE_COST_FACTOR, RentalKind};
 use crate::state::job::EPS;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 
 impl LeaderState {
@@ -63,7 +63,8 @@
                 for spot in [false, true] {
                     let what = (kind, *zone, spot);
                     // Ordinary machines serve everybody; spot ones only if nothing else is left.
-                    let late = if late.contains(&(kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
+                    let late =
+                        if late.contains(&(kind, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
                     let price = f.hourly * late / f.cpus + if spot { 1e6 } else { 0.0 };
                     let number = (gap / f.cpus).ceil().clamp(1.0, 8.0) as u32;
                     if !self.fleet.is_backing_off(&what, now) && best.is_none_or(|b| price < b.0) {
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -1,7 +1,7 @@
-use crate::state::cell::LeaderState;
 use crate::state::fleet::*;
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
+use crate::state::write_queue::RecordKey;
 
 #[test]
 fn overdue_boots_are_replaced_where_others_come_up_in_time() {
@@ -11,7 +11,15 @@
     let (small, north, south) = (TypeId(0), ZoneId(0), ZoneId(1));
     let boot = |c: &mut LeaderState, name: &str, zone: ZoneId, since: u64| {
         let (spot, known) = (false, since);
-        let b = Booting { machine_type: small, zone, spot, requested_at: since, known_since: known, last_listed_at: 0, missed_lists: 0 };
+        let b = Booting {
+            machine_type: small,
+            zone,
+            spot,
+            requested_at: since,
+            known_since: known,
+            last_listed_at: 0,
+            missed_lists: 0,
+        };
         c.fleet.booting.insert(name.into(), b);
     };
     boot(&mut c, "n-1", north, 0);
@@ -59,7 +67,8 @@
         (body.class, body.cpus) = ("study".into(), 0.25);
         edit(&mut body);
         let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
-        let spec = crate::admission::shape::resolve_spec(&body, &mut c.names, &flavors, &settings);
+        let spec =
+            crate::admission::feasibility::resolve_spec(&body, &mut c.names, &flavors, &settings);
         c.insert_job(spec.expect("valid"), body, 0, 100_000 - waited as i64);
         for zone in [ZoneId(0), ZoneId(1)] {
             for kind in [TypeId(0), TypeId(1)] {
--- a/crates/core/src/for_tests.rs
+++ b/crates/core/src/for_tests.rs
@@ -1,17 +1,17 @@
 //! A sample leader's state and its stand-ins, for tests of this crate and of the controller.
 
-use crate::admission::shape::resolve_spec;
+use crate::admission::feasibility::resolve_spec;
 use crate::records::{Change, Condition, JobRecord};
 use crate::settings::Settings;
-use crate::state::cell::LeaderState;
 use crate::state::fleet::MachineType;
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
+use crate::state::write_queue::RecordKey;
 use crate::workers::reports::ReportOutcome;
 use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::jobs::JobBody;
 pub use copperhaven_wire::jobs::sample_job as body;
-use copperhaven_wire::workers::{Order, TaskReport, Report};
+use copperhaven_wire::workers::{Order, Report, TaskReport};
 use std::sync::Arc;
 
 pub const TERM: u64 = 7;
@@ -28,7 +28,13 @@
 /// The record of an open job that waits for nothing.
 pub fn job_record(uid: &str) -> JobRecord {
     let job = body(uid);
-    JobRecord { job, accepted_at_ms: START_MS, cancelled: false, dependency_wait: None, eligible_at_ms: None }
+    JobRecord {
+        job,
+        accepted_at_ms: START_MS,
+        cancelled: false,
+        dependency_wait: None,
+        eligible_at_ms: None,
+    }
 }
 
 pub fn add_job(c: &mut LeaderState, uid: &str, edit: fn(&mut JobBody)) -> JobId {
--- a/crates/core/src/recording.rs
+++ b/crates/core/src/group_commit.rs
@@ -2,14 +2,14 @@
 //! durable first; an unknown outcome is read back).
 
 use crate::records::FinalRecord;
-use crate::state::book::RecordRenderer;
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::{DONE_CHUNK_TASKS, WaitReason};
-use crate::state::ledger::{Batch, RecordKey};
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::ObservedState;
 use crate::state::names::*;
 use crate::state::packs::{DirtyMachine, PACK_OVERHEAD_BYTES, PackId};
-use crate::state::served;
+use crate::state::record_rendering::RecordRenderer;
+use crate::state::write_queue::{Batch, RecordKey};
 
 impl LeaderState {
     /// Lists of machines are written in packs from here on. Those that have records of their own move at a pace.
@@ -76,7 +76,18 @@
         if self.packs.is_enabled() {
             self.regroup();
         }
-        let LeaderState { write_queue: ledger, jobs, machines, dependencies: links, fleet, names, unreadable: aside, fairness_ledger: service, packs, .. } = self;
+        let LeaderState {
+            write_queue: ledger,
+            jobs,
+            machines,
+            dependencies: links,
+            fleet,
+            names,
+            unreadable: aside,
+            fairness_ledger: service,
+            packs,
+            ..
+        } = self;
         let draft = ledger.draft_batch(
             &RecordRenderer { jobs, machines, links, fleet, names, aside, service, packs },
             ops,
@@ -153,15 +164,23 @@
                         self.mark_dirty(RecordKey::Pack(pack));
                     }
                 }
-                RecordKey::DependencyPart(..) | RecordKey::Rental(_) | RecordKey::Delete(_) | RecordKey::FairnessPart(_) | RecordKey::Pack(_) => {
-                }
+                RecordKey::DependencyPart(..)
+                | RecordKey::Rental(_)
+                | RecordKey::Delete(_)
+                | RecordKey::FairnessPart(_)
+                | RecordKey::Pack(_) => {}
             }
         }
     }
 
     /// A condition on `key` failed, and it was read back: its version, and what it says if it is
     /// a final record.
-    pub fn on_condition_failed(&mut self, key: &str, stamp: Option<u64>, last: Option<FinalRecord>) {
+    pub fn on_condition_failed(
+        &mut self,
+        key: &str,
+        stamp: Option<u64>,
+        last: Option<FinalRecord>,
+    ) {
         if let (Some(uid), Some(last)) = (key.strip_prefix("f/"), last)
             && let Some(id) = self.unaccepted(uid)
         {
@@ -201,7 +220,7 @@
         }
         let Some(job) = self.jobs.remove(&id) else { return };
         self.queue.remove(&(job.eligible_at_ms, id));
-        self.fairness_ledger.remove_job(served::fairness_job(id));
+        self.fairness_ledger.remove_job(fairness_accounting::fairness_job(id));
         self.dependencies.queue_reviews(&job);
         self.dependencies.forget(&job.spec.uid);
         self.write_queue.forget(&RecordKey::Job(id));
@@ -219,7 +238,11 @@
         let unsent: Vec<(JobId, u32)> = m
             .assignments
             .iter()
-            .filter(|(_, e)| e.run_sent_with.is_none() && !e.unconfirmed && e.observed == ObservedState::NotReported)
+            .filter(|(_, e)| {
+                e.run_sent_with.is_none()
+                    && !e.unconfirmed
+                    && e.observed == ObservedState::NotReported
+            })
             .filter(|(_, e)| !self.is_saved(&key, e.ver))
             .map(|(k, _)| *k)
             .collect();
--- a/crates/core/src/questions.rs
+++ b/crates/core/src/job_status.rs
@@ -1,11 +1,11 @@
 //! What users are told of a job, and why it waits.
 
 use crate::records::FinalRecord;
-use crate::state::cell::LeaderState;
 use crate::state::job::{Job, WaitReason};
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::ObservedState;
 use crate::state::names::*;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::{BlockingJob, JobStatus};
 
 /// So many of the jobs that one waits for are told to whoever asks.
@@ -30,7 +30,10 @@
             // What it waits for may have been cancelled, which others may have told its user: also while its own
             // cancellation is being recorded (found by a random schedule: it went back to queued).
             let unsure = || {
-                job.is_cancelled() || job.outcome_unknown || !self.dependencies.is_settled() || self.may_cancel_others()
+                job.is_cancelled()
+                    || job.outcome_unknown
+                    || !self.dependencies.is_settled()
+                    || self.may_cancel_others()
             };
             if !saved(job.cancel_ver) && !job.pending_dependencies.is_empty() && unsure() {
                 return None;
@@ -78,8 +81,12 @@
             for (_, e) in m.assignments.range((id, 0)..=(id, u32::MAX)) {
                 match e.observed {
                     _ if e.stop_requested.is_some() => wait = WaitReason::Stopping,
-                    ObservedState::NotReported if e.unconfirmed => wait = WaitReason::UnheardMachine,
-                    ObservedState::Waiting if wait == WaitReason::Image => wait = WaitReason::GangMembers,
+                    ObservedState::NotReported if e.unconfirmed => {
+                        wait = WaitReason::UnheardMachine
+                    }
+                    ObservedState::Waiting if wait == WaitReason::Image => {
+                        wait = WaitReason::GangMembers
+                    }
                     _ => {}
                 }
             }
@@ -89,7 +96,8 @@
 
     /// Tells for which jobs a waiting one waits, and which step holds it back.
     pub fn show_waiting(&self, job: &Job, shown: &mut JobStatus) {
-        shown.pending_dependencies = job.pending_dependencies.iter().take(TOLD).map(ToString::to_string).collect();
+        shown.pending_dependencies =
+            job.pending_dependencies.iter().take(TOLD).map(ToString::to_string).collect();
         shown.pending_dependency_count = job.pending_dependencies.len() as u64;
         let mut at = job;
         for _ in 0..STEPS {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,15 +3,15 @@
 //! `state` holds it in parts with an owner each, and the slices act on it, each by its duty.
 
 pub mod admission;
-pub mod boots;
-pub mod caution;
+pub mod boot_tracking;
+pub mod commit_throttle;
 pub mod fleet;
-pub mod lookups;
-pub mod pace;
+pub mod group_commit;
+pub mod job_status;
+pub mod lookup_limiter;
 pub mod pipelines;
 pub mod placement;
-pub mod questions;
-pub mod recording;
+pub mod rate_limiter;
 pub mod records;
 pub mod settings;
 pub mod state;
--- a/crates/core/src/lookups.rs
+++ b/crates/core/src/lookup_limiter.rs
@@ -3,7 +3,7 @@
 //! as many of them as the pace allows until each has asked again. The others are put off until it is their turn, or
 //! nobody before them uses what is left.
 
-use crate::pace::RateLimiter;
+use crate::rate_limiter::RateLimiter;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Users ask again after this long; who does not within the second is gone, and leaves its place.
@@ -25,7 +25,12 @@
 
 impl LookupLimiter {
     pub fn new(pace: RateLimiter) -> LookupLimiter {
-        LookupLimiter { pace, waits: BTreeMap::new(), by_last: BTreeSet::new(), back: BTreeSet::new() }
+        LookupLimiter {
+            pace,
+            waits: BTreeMap::new(),
+            by_last: BTreeSet::new(),
+            back: BTreeSet::new(),
+        }
     }
 
     /// May a question about this job cost `n` look-ups now? If not, it keeps its place among those that wait.
@@ -149,7 +154,11 @@
         assert!(l.try_acquire("wk-200", 2, 1_000 + ASKS_MS + 500), "nothing was used meanwhile");
         assert!(!l.try_acquire("wk-201", 5, 1_000 + ASKS_MS + 501));
         let mut slow = LookupLimiter::new(RateLimiter::new(1.2, 0));
-        assert!(slow.try_acquire("wk-1", 3, 0) && !slow.try_acquire("wk-1", 3, 500) && slow.try_acquire("wk-1", 3, 2_000));
+        assert!(
+            slow.try_acquire("wk-1", 3, 0)
+                && !slow.try_acquire("wk-1", 3, 500)
+                && slow.try_acquire("wk-1", 3, 2_000)
+        );
         for n in 0..2 * MOST as u64 {
             l.try_acquire(&format!("wk-{n}"), 5, 60_000);
         }
--- a/crates/core/src/pipelines/follow.rs
+++ b/crates/core/src/pipelines/propagation.rs
@@ -1,10 +1,10 @@
 //! Carrying on what is recorded: who may start, who is cancelled with whom, priority and urgency.
 
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::{WaitReason, secs_to_ms};
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
-use crate::state::served;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::Priority;
 
 /// Steps at a time, so that fans and chains of thousands never hold the leader up.
@@ -33,7 +33,9 @@
                 let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_open()) else { continue };
                 if !done {
                     self.cancel_with(id);
-                } else if job.pending_dependencies.remove(&uid) && job.pending_dependencies.is_empty() {
+                } else if job.pending_dependencies.remove(&uid)
+                    && job.pending_dependencies.is_empty()
+                {
                     self.let_start(id, now);
                 }
             }
@@ -65,7 +67,8 @@
             for next in after.iter().filter_map(|n| Some((*n, self.jobs.get(n)?))) {
                 if next.1.is_open() {
                     precedence = precedence.min(next.1.spec.priority);
-                    let latest = next.1.effective_deadline.map(|d| d - self.expected_run_ms(next.0));
+                    let latest =
+                        next.1.effective_deadline.map(|d| d - self.expected_run_ms(next.0));
                     due = [due, latest].into_iter().flatten().min();
                 }
             }
@@ -77,9 +80,11 @@
     /// How this job ended, or whether it is cancelled, can't be read. Nothing is told of those that
     /// need it, directly or through others: an earlier leader may have called them cancelled.
     pub fn mark_outcome_unknown(&mut self, uid: &str) {
-        let mut next: Vec<JobId> = self.dependencies.dependents.get(uid).cloned().unwrap_or_default();
+        let mut next: Vec<JobId> =
+            self.dependencies.dependents.get(uid).cloned().unwrap_or_default();
         while let Some(id) = next.pop() {
-            let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_open() && !j.outcome_unknown) else {
+            let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_open() && !j.outcome_unknown)
+            else {
                 continue;
             };
             job.outcome_unknown = true;
@@ -90,7 +95,12 @@
 
     /// A job's priority and urgency, its own or from those that need it; what changes goes on to
     /// the jobs that it needs.
-    fn set_effective_priority_and_deadline(&mut self, id: JobId, precedence: Priority, due: Option<i64>) {
+    fn set_effective_priority_and_deadline(
+        &mut self,
+        id: JobId,
+        precedence: Priority,
+        due: Option<i64>,
+    ) {
         let Some(job) = self.jobs.get(&id) else { return };
         if (job.spec.priority, job.effective_deadline) == (precedence, due) {
             return;
@@ -120,7 +130,8 @@
         let run = self.expected_run_ms(id);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.eligible_mono_ms = now as i64;
-        job.eligible_at_ms = (job.accepted_at_ms as i64 + now as i64 - job.accepted_mono_ms).max(0) as u64;
+        job.eligible_at_ms =
+            (job.accepted_at_ms as i64 + now as i64 - job.accepted_mono_ms).max(0) as u64;
         job.eta = now as i64 + run;
         job.start_ver = ver;
         job.wait_reason = WaitReason::Recording;
@@ -144,7 +155,10 @@
         job.cancelled_by_dependency = true;
         job.waiting.clear();
         let (turn, uid) = ((job.eligible_at_ms, id), job.spec.uid.clone());
-        self.fairness_ledger.job_cancelled(served::fairness_job(id), served::fairness_pair(&job.spec));
+        self.fairness_ledger.job_cancelled(
+            fairness_accounting::fairness_job(id),
+            fairness_accounting::fairness_pair(&job.spec),
+        );
         self.dependencies.queue_reviews(job);
         self.queue.remove(&turn);
         self.dependencies.record_outcome(uid, false);
--- a/crates/core/src/pipelines/awaits.rs
+++ b/crates/core/src/pipelines/submission.rs
@@ -1,10 +1,10 @@
 //! Taking in a job that waits for others.
 
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::{Job, JobSpec, WaitReason, secs_to_ms};
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
-use crate::state::served;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::{JobBody, JobKind};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -68,11 +68,17 @@
     }
 
     /// What becomes of a job that names these; `read` is what the records said of some.
-    pub fn check_dependencies(&self, uids: &[String], read: &HashMap<String, DependencyState>) -> DependencyCheck {
+    pub fn check_dependencies(
+        &self,
+        uids: &[String],
+        read: &HashMap<String, DependencyState>,
+    ) -> DependencyCheck {
         let (mut open, mut ask, mut cancelled, mut later) = (vec![], vec![], false, false);
         for uid in uids {
             let known = match self.named(uid) {
-                DependencyState::NotInMemory => read.get(uid).copied().unwrap_or(DependencyState::NotInMemory),
+                DependencyState::NotInMemory => {
+                    read.get(uid).copied().unwrap_or(DependencyState::NotInMemory)
+                }
                 known => known,
             };
             match known {
@@ -82,7 +88,9 @@
                 DependencyState::Service => return DependencyCheck::Service(uid.clone()),
                 DependencyState::Unrecorded => later = true,
                 DependencyState::NotInMemory => ask.push(uid.clone()),
-                DependencyState::NeverAccepted => return DependencyCheck::NeverAccepted(uid.clone()),
+                DependencyState::NeverAccepted => {
+                    return DependencyCheck::NeverAccepted(uid.clone());
+                }
             }
         }
         match () {
@@ -115,7 +123,8 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.accept_ver = ver;
         }
-        if let Some(pair) = self.jobs.get(&id).map(|j| served::fairness_pair(&j.spec)) {
+        if let Some(pair) = self.jobs.get(&id).map(|j| fairness_accounting::fairness_pair(&j.spec))
+        {
             self.fairness_ledger.job_accepted(pair);
         }
         if dead {
@@ -137,7 +146,10 @@
             return;
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let room = self.write_queue.value_limit.saturating_sub(self.record_bytes_without_dependencies(&job.body));
+        let room = self
+            .write_queue
+            .value_limit
+            .saturating_sub(self.record_bytes_without_dependencies(&job.body));
         let rest = on.get(room / ID_BYTES..).unwrap_or(&[]);
         let each = ((self.write_queue.value_limit - FRAME_BYTES) / ID_BYTES).max(1);
         let uid = job.spec.uid.clone();
@@ -163,9 +175,10 @@
         job.pending_dependencies = on.into_iter().collect();
         job.routed_by_pool.iter_mut().for_each(|r| *r = 0);
         job.wait_reason = WaitReason::Dependencies;
-        let (awaits, spec, due) = (job.pending_dependencies.clone(), job.spec.clone(), job.effective_deadline);
+        let (awaits, spec, due) =
+            (job.pending_dependencies.clone(), job.spec.clone(), job.effective_deadline);
         self.queue.remove(&turn);
-        self.fairness_ledger.remove_job(served::fairness_job(id));
+        self.fairness_ledger.remove_job(fairness_accounting::fairness_job(id));
         let due = due.map(|d| d - self.expected_run_ms(id));
         for uid in awaits {
             self.dependencies.dependents.entry(uid.clone()).or_default().push(id);
@@ -173,11 +186,14 @@
                 None => {
                     self.dependencies.unread_outcomes.insert(uid.clone());
                 }
-                Some((_, job)) if job.is_cancelled() && self.named(&uid) == DependencyState::Cancelled => {
+                Some((_, job))
+                    if job.is_cancelled() && self.named(&uid) == DependencyState::Cancelled =>
+                {
                     self.dependencies.record_outcome(uid.clone(), false);
                 }
                 Some((_, job)) => {
-                    let sooner = due.is_some_and(|d| job.effective_deadline.is_none_or(|own| d < own));
+                    let sooner =
+                        due.is_some_and(|d| job.effective_deadline.is_none_or(|own| d < own));
                     if sooner || spec.priority < job.spec.priority {
                         self.dependencies.pending_raises.push_back((uid, spec.priority, due));
                     }
@@ -190,7 +206,9 @@
     /// which they are.
     pub fn jobs_ready_within(&self, within_s: f64, now: u64) -> Vec<JobId> {
         let mut soon: Vec<(i64, JobId)> = vec![];
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_open() && !j.pending_dependencies.is_empty()) {
+        for (id, job) in
+            self.jobs.iter().filter(|(_, j)| j.is_open() && !j.pending_dependencies.is_empty())
+        {
             // The last of many is told by the first that is far away.
             let mut ready = 0;
             for uid in job.pending_dependencies.iter().take(TOLD) {
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -1,12 +1,12 @@
-use super::awaits::*;
-use super::follow::*;
-use crate::admission::shape::resolve_spec;
+use super::propagation::*;
+use super::submission::*;
+use crate::admission::feasibility::resolve_spec;
 use crate::for_tests::{add_job, cell, commit, exchange_report, job_record, report};
-use crate::records::{Change, FinalRecord, DependenciesRecord, Record, DependencyWait};
-use crate::state::cell::LeaderState;
+use crate::records::{Change, DependenciesRecord, DependencyWait, FinalRecord, Record};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 use crate::takeover::{Records, rebuild};
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -229,7 +229,10 @@
             }
         }
         assert_eq!(status(&c, "wk-6"), "queued");
-        assert!(c.jobs[&c.jobs.id_of("wk-6").expect("known")].pending_dependencies.is_empty(), "7 was done");
+        assert!(
+            c.jobs[&c.jobs.id_of("wk-6").expect("known")].pending_dependencies.is_empty(),
+            "7 was done"
+        );
         for _ in 0..10 {
             commit(&mut c);
             c.propagate_dependencies(T0);
@@ -300,7 +303,10 @@
         for i in [1, n / 2, n] {
             assert_eq!(status(&c, &format!("wk-{i}")), "aborted");
         }
-        assert!(c.write_queue.dirty_count() <= DERIVED_ENDS_MAX_UNWRITTEN + 1, "their ends are recorded when there is time");
+        assert!(
+            c.write_queue.dirty_count() <= DERIVED_ENDS_MAX_UNWRITTEN + 1,
+            "their ends are recorded when there is time"
+        );
     }
 }
 
@@ -329,7 +335,11 @@
             // Accepted means that all of its links are recorded.
             let parts = store.keys().filter(|p| p.starts_with("a/")).count();
             assert_eq!(seen, c.job_status("wk-1").is_some());
-            assert!(!seen || parts as u32 == c.jobs[&c.jobs.id_of("wk-1").expect("known")].dependency_parts);
+            assert!(
+                !seen
+                    || parts as u32
+                        == c.jobs[&c.jobs.id_of("wk-1").expect("known")].dependency_parts
+            );
         }
         assert!(seen);
         let listed = |v: &Record| match v {
@@ -449,7 +459,11 @@
 fn a_record_that_waits_keeps_what_it_will_use() {
     let mut store = BTreeMap::new();
     let mut r = job_record("wk-2");
-    r.dependency_wait = Some(DependencyWait { dependencies: ids(&["wk-1"]), machine_types: Some(ids(&["big"])), parts: 0 });
+    r.dependency_wait = Some(DependencyWait {
+        dependencies: ids(&["wk-1"]),
+        machine_types: Some(ids(&["big"])),
+        parts: 0,
+    });
     r.job.machine_types = Some(vec![]);
     store.insert("j/wk-2".to_string(), Record::Job(Box::new(r)));
     let mut c = successor(&store);
--- a/crates/core/src/placement/slots.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -1,10 +1,10 @@
 //! Machines with what is free on them, and which of them a job may use.
 
-use crate::state::book::{MAX_TASK_GROUP_BYTES, MAX_TASK_RANGE_BYTES};
-use crate::state::cell::LeaderState;
 use crate::state::job::{EPS, JobSpec};
+use crate::state::leader_state::LeaderState;
 use crate::state::machine;
 use crate::state::names::*;
+use crate::state::record_rendering::{MAX_TASK_GROUP_BYTES, MAX_TASK_RANGE_BYTES};
 use copperhaven_recovery::Machine;
 use smallvec::SmallVec;
 
@@ -51,7 +51,9 @@
 
     /// How many tasks of this shape fit.
     pub fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
-        let listed = (self.record_free_bytes.saturating_sub(MAX_TASK_GROUP_BYTES) / MAX_TASK_RANGE_BYTES).min(256) as u32;
+        let listed = (self.record_free_bytes.saturating_sub(MAX_TASK_GROUP_BYTES)
+            / MAX_TASK_RANGE_BYTES)
+            .min(256) as u32;
         if listed == 0 {
             return 0;
         }
@@ -67,12 +69,18 @@
 
     /// How many tasks of this shape fit, with nobody else's reservation in the way.
     pub(super) fn unreserved_fitting_tasks(&self, spec: &JobSpec) -> u32 {
-        if self.reserved.is_none() && self.is_eligible_for(spec) { self.fitting_tasks(spec) } else { 0 }
+        if self.reserved.is_none() && self.is_eligible_for(spec) {
+            self.fitting_tasks(spec)
+        } else {
+            0
+        }
     }
 
     pub fn allocate(&mut self, spec: &JobSpec, n: u32) {
         if n > 0 {
-            self.record_free_bytes = self.record_free_bytes.saturating_sub(MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES * n as usize);
+            self.record_free_bytes = self
+                .record_free_bytes
+                .saturating_sub(MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES * n as usize);
         }
         let n = f64::from(n);
         self.cpus -= spec.cpus * n;
@@ -150,7 +158,8 @@
         let Some(job) = self.jobs.get(&id) else { return 0 };
         let mut room = u32::MAX;
         if job.spec.one_zone {
-            let elsewhere = job.placements_by_zone.iter().enumerate().any(|(z, n)| z != zone.index() && *n > 0);
+            let elsewhere =
+                job.placements_by_zone.iter().enumerate().any(|(z, n)| z != zone.index() && *n > 0);
             if elsewhere {
                 return 0;
             }
@@ -165,11 +174,18 @@
     /// The machines a job may use now, the best first: where the index routed its tasks, with its
     /// image, spot if it may (that leaves ordinary machines to those who must have them), and
     /// the fullest, so that whole machines stay free for gangs.
-    pub(crate) fn candidate_indices(&self, id: JobId, spec: &JobSpec, slots: &[FreeCapacity]) -> Vec<usize> {
+    pub(crate) fn candidate_indices(
+        &self,
+        id: JobId,
+        spec: &JobSpec,
+        slots: &[FreeCapacity],
+    ) -> Vec<usize> {
         let Some(job) = self.jobs.get(&id) else { return vec![] };
         let sound = self.machines.len() > job.failed_on.len();
         let doubted = |s: &FreeCapacity| {
-            self.machines.get(&s.machine_id).is_some_and(|m| m.machine_failures > 0 || !m.suspect_failures.is_empty())
+            self.machines
+                .get(&s.machine_id)
+                .is_some_and(|m| m.machine_failures > 0 || !m.suspect_failures.is_empty())
         };
         let mut out: Vec<(bool, bool, bool, bool, i64, i64, usize)> = slots
             .iter()
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -1,8 +1,8 @@
 //! Gangs: all their places at once, or none.
 
-use crate::placement::slots::FreeCapacity;
-use crate::state::cell::LeaderState;
+use crate::placement::capacity::FreeCapacity;
 use crate::state::job::{JobSpec, WaitReason};
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::RESERVATION_MS;
 use crate::state::names::*;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/core/src/placement/singles.rs
+++ b/crates/core/src/placement/independent_tasks.rs
@@ -1,8 +1,8 @@
 //! Tasks of arrays and replicas of services, each placed by itself.
 
-use crate::placement::slots::FreeCapacity;
-use crate::state::cell::LeaderState;
+use crate::placement::capacity::FreeCapacity;
 use crate::state::job::{JobSpec, WaitReason};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 use copperhaven_wire::jobs::JobKind;
 
@@ -25,7 +25,9 @@
         now: u64,
     ) -> WaitReason {
         // Without room in the team's limit no machine need be looked at.
-        if self.team_headroom(spec) == 0 && self.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty()) {
+        if self.team_headroom(spec) == 0
+            && self.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty())
+        {
             return WaitReason::TeamLimit;
         }
         let mut order = self.candidate_indices(id, spec, slots);
--- a/crates/core/src/placement/limit_tests.rs
+++ b/crates/core/src/placement/limit_tests.rs
@@ -1,12 +1,12 @@
 //! What is stopped for a team's limit: gathered once in a pass, against looking through all that runs each time.
 
 use crate::for_tests::{START_MS, TERM, add_job, cell, commit, report};
-use crate::state::cell::LeaderState;
 use crate::state::job::EPS;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::{Assignment, ObservedState};
 use crate::state::names::*;
-use crate::state::teams::Usage;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use crate::state::team_usage::Usage;
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use copperhaven_wire::workers::Report;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -102,7 +102,11 @@
         let mut now = START_MS;
         for n in 0..3 {
             let berth = "big".to_string();
-            let r = Report { machine: format!("n-{n}"), machine_type: berth, ..report(1, 1, TERM, &[]) };
+            let r = Report {
+                machine: format!("n-{n}"),
+                machine_type: berth,
+                ..report(1, 1, TERM, &[])
+            };
             c.on_report(&r, now);
         }
         // Of 32 CPUs the first wants the 8 of the guarantee; the other 28.
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,13 +1,13 @@
 //! Placement: in which order jobs are served, which machine a task gets, room kept for gangs,
 //! and who has to make room for whom.
 
+pub mod capacity;
 pub mod gangs;
-pub mod limits;
-pub mod order;
+pub mod independent_tasks;
 pub mod pass;
 pub mod preempt;
-pub mod singles;
-pub mod slots;
+pub mod ranking;
+pub mod team_limits;
 
 #[cfg(test)]
 mod limit_tests;
--- a/crates/core/src/placement/need_tests.rs
+++ b/crates/core/src/placement/need_tests.rs
@@ -1,13 +1,13 @@
 //! The order of service and who makes room while somebody is served too little: tables.
 
 use crate::for_tests::{START_MS, TERM, add_job, cell, commit, report};
-use crate::records::{Record, FAIRNESS_PREFIX, FairnessRecord};
-use crate::state::cell::LeaderState;
+use crate::records::{FAIRNESS_PREFIX, FairnessRecord, Record};
+use crate::state::fairness_accounting;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
-use crate::state::served;
 use crate::takeover::{Records, rebuild};
-use copperhaven_fairness::carried::FairnessSnapshot;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_fairness::snapshot::FairnessSnapshot;
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use copperhaven_wire::workers::Report;
 
 /// Jobs of class `steady` should be done within 90 s: they count as neglected after 67.5.
@@ -111,8 +111,13 @@
             let old = START_MS as i64 - 500_000;
             for n in 3..9 {
                 let id = add_job(&mut c, &format!("wk-{n}"), |b| b.class = "large".into());
-                let pair = served::fairness_pair(&c.jobs[&large].spec);
-                c.fairness_ledger.job_opened(served::fairness_job(id), pair, old, 600_000);
+                let pair = fairness_accounting::fairness_pair(&c.jobs[&large].spec);
+                c.fairness_ledger.job_opened(
+                    fairness_accounting::fairness_job(id),
+                    pair,
+                    old,
+                    600_000,
+                );
                 c.jobs.get_mut(&id).expect("there").retry_at = u64::MAX;
             }
         }
@@ -121,7 +126,9 @@
         c.run_placement_pass(now);
         let kept = c.machines.values().filter(|m| m.reserved.is_some_and(|(id, _)| id == large));
         assert_eq!(kept.count(), if need { 2 } else { 0 }, "a quarter of the machines at most");
-        assert!(c.machines.values().all(|m| m.assignments.values().all(|e| e.stop_requested.is_none())));
+        assert!(
+            c.machines.values().all(|m| m.assignments.values().all(|e| e.stop_requested.is_none()))
+        );
         // One task on each machine is done: nothing small goes where it is kept free.
         let ids: Vec<MachineId> = c.machines.keys().copied().collect();
         for mid in &ids {
@@ -161,7 +168,8 @@
         c.run_placement_pass(START_MS);
         commit(&mut c);
         all_run(&mut c, START_MS + 1);
-        c.fairness_ledger.task_preempted(served::fairness_pair(&c.jobs[&low].spec), lost);
+        c.fairness_ledger
+            .task_preempted(fairness_accounting::fairness_pair(&c.jobs[&low].spec), lost);
         // Somebody else is in need; on other days nothing is bounded.
         let other = (copperhaven_fairness::Team(2), copperhaven_fairness::Class(9));
         for n in (0..9).filter(|_| overload) {
@@ -178,7 +186,10 @@
             if stopped { 4 } else { 0 },
             "{overload} {lost}"
         );
-        let counted = c.fairness_ledger.team_class(served::fairness_pair(&c.jobs[&low].spec)).expect("counted");
+        let counted = c
+            .fairness_ledger
+            .team_class(fairness_accounting::fairness_pair(&c.jobs[&low].spec))
+            .expect("counted");
         assert_eq!(counted.preempted, if stopped { 5 } else { 1 });
     }
 }
@@ -187,9 +198,11 @@
 fn deficits_outlive_a_leader() {
     let mut c = cell();
     let id = add_job(&mut c, "wk-1", |b| b.deadline_s = None);
-    let pair = served::fairness_pair(&c.jobs[&id].spec);
+    let pair = fairness_accounting::fairness_pair(&c.jobs[&id].spec);
     c.advance_fairness(START_MS);
-    (0..40).for_each(|_| c.fairness_ledger.submission_refused(pair, copperhaven_fairness::ledger::Refusal::Memory));
+    (0..40).for_each(|_| {
+        c.fairness_ledger.submission_refused(pair, copperhaven_fairness::ledger::Refusal::Memory)
+    });
     c.fairness_ledger.task_preempted(pair, 9_000.0);
     c.record_fairness();
     let mut read = Records::default();
@@ -211,7 +224,11 @@
         recent: [f64::INFINITY; 3],
     };
     let known = FairnessSnapshot { team: "blue".into(), ..odd.clone() };
-    read.service.push((format!("{FAIRNESS_PREFIX}1"), FairnessRecord { rows: vec![odd, known] }, 7));
+    read.service.push((
+        format!("{FAIRNESS_PREFIX}1"),
+        FairnessRecord { rows: vec![odd, known] },
+        7,
+    ));
     let mut heir = cell();
     rebuild(&mut heir, read, START_MS, START_MS);
     let row = heir.fairness_ledger.team_class(pair).expect("carried");
@@ -232,7 +249,7 @@
         c.fairness_ledger.task_completed(pair, n as f64 * 1000.0);
     }
     let most = 2000;
-    let parts = served::record_parts(&c.fairness_ledger, &c.names, most);
+    let parts = fairness_accounting::record_parts(&c.fairness_ledger, &c.names, most);
     assert_eq!(parts.len(), 8);
     for rows in &parts {
         assert!(Record::Service(FairnessRecord { rows: rows.clone() }).encoded_len() <= most);
@@ -257,5 +274,9 @@
         add_job(&mut c, uid, |b| (b.team, b.tasks) = ("guest".into(), 100_000));
     }
     assert!((1..=9).contains(&taken), "{taken}");
-    assert!(!c.has_memory_for(guest, 100_000) && c.has_memory_for(red, 1_000) && c.has_memory_for(red, 10_000));
+    assert!(
+        !c.has_memory_for(guest, 100_000)
+            && c.has_memory_for(red, 1_000)
+            && c.has_memory_for(red, 10_000)
+    );
 }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -1,11 +1,11 @@
 //! Placement passes: every waiting task that can be placed is put on a machine's list.
 
-use crate::placement::order::RankedJob;
 use crate::placement::preempt::RankByJob;
-use crate::state::cell::LeaderState;
-use crate::state::cell::MIN_PASS_INTERVAL_MS;
+use crate::placement::ranking::RankedJob;
 use crate::state::job::{JobSpec, WaitReason};
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
+use crate::state::leader_state::MIN_PASS_INTERVAL_MS;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::JobKind;
 use std::sync::Arc;
 
@@ -53,7 +53,11 @@
 
     /// There is room for so many tasks of this shape.
     pub(crate) fn record_max_tasks(&mut self, spec: &Arc<JobSpec>, most: u32) {
-        match self.max_tasks_by_demand.iter_mut().find(|(a, _)| Self::covers(a, spec) && Self::covers(spec, a)) {
+        match self
+            .max_tasks_by_demand
+            .iter_mut()
+            .find(|(a, _)| Self::covers(a, spec) && Self::covers(spec, a))
+        {
             Some((_, known)) => *known = most.min(*known),
             None => self.max_tasks_by_demand.push((spec.clone(), most)),
         }
@@ -135,7 +139,10 @@
                 }
                 continue;
             }
-            if job.is_failing() && job.spec.kind != JobKind::Gang && !job.placement_counts.is_empty() {
+            if job.is_failing()
+                && job.spec.kind != JobKind::Gang
+                && !job.placement_counts.is_empty()
+            {
                 continue;
             }
             let spec = job.spec.clone();
@@ -204,7 +211,13 @@
                 let found = if futile {
                     kept || (now < job.next_preemption_at && was == WaitReason::Stopping)
                 } else {
-                    let found = self.preempt_for_capacity(*r, &spec, &mut slots, (&order, &held, bounds), now);
+                    let found = self.preempt_for_capacity(
+                        *r,
+                        &spec,
+                        &mut slots,
+                        (&order, &held, bounds),
+                        now,
+                    );
                     if let Some(job) = self.jobs.get_mut(&r.id) {
                         job.next_preemption_at = now + if found { AGAIN_MS } else { LOOK_MS };
                     }
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -1,12 +1,12 @@
 //! Who has to make room for whom.
 
-use crate::placement::order::RankedJob;
-use crate::placement::slots::FreeCapacity;
-use crate::state::cell::LeaderState;
+use crate::placement::capacity::FreeCapacity;
+use crate::placement::ranking::RankedJob;
+use crate::state::fairness_accounting;
 use crate::state::job::JobSpec;
-use crate::state::machine::{Assignment, Machine, RESERVATION_MS, ObservedState};
+use crate::state::leader_state::LeaderState;
+use crate::state::machine::{Assignment, Machine, ObservedState, RESERVATION_MS};
 use crate::state::names::*;
-use crate::state::served;
 use copperhaven_fairness::Class;
 use copperhaven_fairness::loss::{MAX_LOST_SHARE_EQUAL_PRIORITY, MAX_LOST_SHARE_HIGHER_PRIORITY};
 use copperhaven_wire::jobs::JobKind;
@@ -68,7 +68,8 @@
             && v.team != spec.team
             && !other.is_none_or(|v| v.guaranteed)
             && v.priority >= spec.priority;
-        let part = if lower { MAX_LOST_SHARE_HIGHER_PRIORITY } else { MAX_LOST_SHARE_EQUAL_PRIORITY };
+        let part =
+            if lower { MAX_LOST_SHARE_HIGHER_PRIORITY } else { MAX_LOST_SHARE_EQUAL_PRIORITY };
         (lower || beyond)
             && (!self.patient || guest(v))
             && !other.is_some_and(|v| r.is_barred_from_preempting(v))
@@ -157,7 +158,8 @@
         let mut plans = Vec::new();
         for (i, s) in slots.iter().enumerate() {
             let taken = s.reserved.is_some() || held.contains(&s.machine_id);
-            let barred = job.failed_on.contains_key(&s.machine_id) || self.zone_headroom(r.id, s.zone) == 0;
+            let barred =
+                job.failed_on.contains_key(&s.machine_id) || self.zone_headroom(r.id, s.zone) == 0;
             if taken || barred || !s.is_eligible_for(spec) {
                 continue;
             }
@@ -207,7 +209,11 @@
                 self.record_preemption(mid, vid, task, now);
                 let Some(v) = self.jobs.get_mut(&vid) else { continue };
                 v.preempted += 1;
-                let grace = if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 };
+                let grace = if v.spec.checkpoint_interval_s > 0.0 {
+                    v.spec.checkpoint_save_s + 1.0
+                } else {
+                    0.0
+                };
                 if v.spec.kind == JobKind::Gang {
                     self.stop_all_tasks(vid, now, grace);
                 } else {
@@ -232,7 +238,11 @@
     /// For how long a task has run, as far as this leader knows, in seconds.
     fn ran_s(&self, e: &Assignment, now: u64) -> f64 {
         let since = e.running_since.max(self.took_over_at);
-        if e.observed == ObservedState::Running { now.saturating_sub(since) as f64 / 1000.0 } else { 0.0 }
+        if e.observed == ObservedState::Running {
+            now.saturating_sub(since) as f64 / 1000.0
+        } else {
+            0.0
+        }
     }
 
     /// What is lost of a task's run if it is stopped now, in seconds.
@@ -260,7 +270,7 @@
         let spec = &job.spec;
         let tasks = if spec.kind == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
         let lost = self.lost_s(spec, e, now) * spec.cpus * tasks;
-        self.fairness_ledger.task_preempted(served::fairness_pair(spec), lost);
+        self.fairness_ledger.task_preempted(fairness_accounting::fairness_pair(spec), lost);
     }
 
     /// Does any team without a guarantee have work on machines?
@@ -284,7 +294,9 @@
             .filter(|o| o.kind == "guarantee")
             .filter_map(|o| o.within_s)
             .fold(60.0, f64::min);
-        r.guaranteed && job.waiting_for_room_since > 0 && now > job.waiting_for_room_since + (span * 333.0) as u64
+        r.guaranteed
+            && job.waiting_for_room_since > 0
+            && now > job.waiting_for_room_since + (span * 333.0) as u64
     }
 
     /// The cheapest tasks to stop on one machine so that tasks of `spec` fit there; cost counts
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/ranking.rs
@@ -1,12 +1,14 @@
 //! The order in which jobs are served.
 
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::{EPS, Job};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
-use crate::state::served;
-use copperhaven_fairness::need::{TeamDemand, DeficitLevel, Deficits, QueueEntry, order_by_deficit};
+use copperhaven_fairness::deficit::{
+    DeficitLevel, Deficits, QueueEntry, TeamDemand, order_by_deficit,
+};
 use copperhaven_fairness::{Class, Team};
-use copperhaven_wire::jobs::{Priority, JobKind};
+use copperhaven_wire::jobs::{JobKind, Priority};
 use std::collections::BTreeMap;
 
 /// A job in the order in which it is served.
@@ -78,9 +80,10 @@
             sum.0 += job.spec.cpus * f64::from(job.remaining_tasks());
             sum.1 += job.spec.gpus * f64::from(job.remaining_tasks());
             let within = sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS;
-            let pair = served::fairness_pair(&job.spec);
+            let pair = fairness_accounting::fairness_pair(&job.spec);
             let first = self.must_begin(job, now) && large.get(&pair).is_none_or(Use::has_room);
-            let (turn, work) = if first { (0, 0) } else { self.turn(job, needs.class_deficit(pair), now) };
+            let (turn, work) =
+                if first { (0, 0) } else { self.turn(job, needs.class_deficit(pair), now) };
             let rank = (!within, team.is_guest(), job.spec.priority, turn, work, *at, *id);
             let cpus = job.spec.cpus * f64::from(job.waiting.len());
             places.push(QueueEntry { team_class: pair, rank, cpus, item: within });
@@ -127,7 +130,7 @@
         let mut out: BTreeMap<(Team, Class), Use> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
             let cpus = job.spec.cpus * f64::from(job.placement_counts.values().sum::<u32>());
-            let of = out.entry(served::fairness_pair(&job.spec)).or_default();
+            let of = out.entry(fairness_accounting::fairness_pair(&job.spec)).or_default();
             of.all += cpus;
             if self.job_sizes.is_large(job.spec.class, job.spec.tasks) {
                 of.large += cpus;
@@ -149,7 +152,8 @@
         let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
         let span = 1.0 / self.deadline_rate(spec);
         // A deadline counts from the submission, everything else from when nothing is missing.
-        let from = if spec.deadline_s.is_some() { job.accepted_mono_ms } else { job.eligible_mono_ms };
+        let from =
+            if spec.deadline_s.is_some() { job.accepted_mono_ms } else { job.eligible_mono_ms };
         let age = (now as i64 - from) as f64 / 1000.0;
         // Where a class is served too little nearly all its jobs have waited for long: by arrival the
         // large ones would keep many small ones from being served at all.
--- a/crates/core/src/placement/limits.rs
+++ b/crates/core/src/placement/team_limits.rs
@@ -1,10 +1,10 @@
 //! Teams' limits: what of them is left, and work that is stopped for them.
 
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::{EPS, JobSpec};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
-use crate::state::served;
-use crate::state::teams::{Stoppable, StoppableGroup, Usage};
+use crate::state::team_usage::{Stoppable, StoppableGroup, Usage};
 use copperhaven_wire::jobs::JobKind;
 
 impl LeaderState {
@@ -47,7 +47,8 @@
     /// Does the team have work of lower priority on machines, gangs apart? Only that is stopped for
     /// its limit.
     pub(crate) fn has_lower_priority_work(&self, spec: &JobSpec) -> bool {
-        let lower = &self.team_usage.usage_by_priority(spec.team).non_gang[spec.priority as usize + 1..];
+        let lower =
+            &self.team_usage.usage_by_priority(spec.team).non_gang[spec.priority as usize + 1..];
         lower.iter().any(|u| u.cpus > EPS || u.gpus > EPS)
     }
 
@@ -65,12 +66,15 @@
         for (mid, m) in &self.machines {
             for ((id, task), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                if job.spec.team == team && job.spec.kind != JobKind::Gang && e.stop_requested.is_none() {
+                if job.spec.team == team
+                    && job.spec.kind != JobKind::Gang
+                    && e.stop_requested.is_none()
+                {
                     let lost_s = self.lost_s(&job.spec, e, now);
                     let at = (*mid, *id, *task, e.attempt);
                     StoppableGroup::add(
                         &mut groups,
-                        (served::fairness_pair(&job.spec), job.guaranteed),
+                        (fairness_accounting::fairness_pair(&job.spec), job.guaranteed),
                         &job.spec,
                         at,
                         lost_s,
@@ -97,7 +101,7 @@
             return Some(vec![]);
         }
         self.gather_stoppable(spec.team, now);
-        let own = self.deficits.class_deficit(served::fairness_pair(spec));
+        let own = self.deficits.class_deficit(fairness_accounting::fairness_pair(spec));
         let LeaderState { stoppable, deficits: needs, machines, .. } = self;
         let groups = stoppable[spec.team.index()].iter_mut().flatten();
         // Nobody makes room who is as much in need as the one that wants it, or is served before it: what that one runs
@@ -122,7 +126,8 @@
                 .min_by(|a, b| cheapest(a).total_cmp(&cheapest(b)))?;
             left[next] -= 1;
             let s = groups[next].tasks[left[next]];
-            let there = machines.get(&s.machine_id).and_then(|m| m.assignments.get(&(s.id, s.task)));
+            let there =
+                machines.get(&s.machine_id).and_then(|m| m.assignments.get(&(s.id, s.task)));
             // One that left and was placed there again is listed twice.
             if there.is_some_and(|e| e.stop_requested.is_none() && e.attempt == s.attempt) {
                 lack.cpus -= s.usage.cpus;
@@ -149,16 +154,21 @@
             gpus: used.gpus + held.gpus + spec.gpus * n - team.gpus_max - stopping.gpus,
         };
         let guaranteed = job.guaranteed;
-        let Some(stops) = self.select_limit_victims((spec, guaranteed), lack, now) else { return false };
+        let Some(stops) = self.select_limit_victims((spec, guaranteed), lack, now) else {
+            return false;
+        };
         if !stops.is_empty() {
             let count = stops.len();
             tracing::info!("preempt {count} tasks for {}: its team's limit", spec.uid);
         }
         for s in stops {
-            let grace = self
-                .jobs
-                .get(&s.id)
-                .map_or(0.0, |v| if v.spec.checkpoint_interval_s > 0.0 { v.spec.checkpoint_save_s + 1.0 } else { 0.0 });
+            let grace = self.jobs.get(&s.id).map_or(0.0, |v| {
+                if v.spec.checkpoint_interval_s > 0.0 {
+                    v.spec.checkpoint_save_s + 1.0
+                } else {
+                    0.0
+                }
+            });
             self.record_preemption(s.machine_id, s.id, s.task, now);
             if let Some(v) = self.jobs.get_mut(&s.id) {
                 v.preempted += 1;
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -1,13 +1,13 @@
-use super::order::RankedJob;
 use super::pass::*;
-use crate::admission::shape::resolve_spec;
+use super::ranking::RankedJob;
+use crate::admission::feasibility::resolve_spec;
 use crate::for_tests::*;
-use crate::state::cell::{LeaderState, MIN_PASS_INTERVAL_MS};
 use crate::state::job::JobSpec;
+use crate::state::leader_state::{LeaderState, MIN_PASS_INTERVAL_MS};
 use crate::state::names::*;
-use copperhaven_fairness::need::DeficitLevel;
+use copperhaven_fairness::deficit::DeficitLevel;
 use copperhaven_wire::jobs::JobBody;
-use copperhaven_wire::jobs::{Priority, JobKind};
+use copperhaven_wire::jobs::{JobKind, Priority};
 use copperhaven_wire::workers::Report;
 use std::sync::Arc;
 
@@ -27,7 +27,11 @@
     c.run_placement_pass(1000);
     assert_eq!(c.ms_until_next_pass(1000), None, "nothing has changed");
     c.placement_pending = true;
-    for (now, pause) in [(1000, MIN_PASS_INTERVAL_MS), (1000 + MIN_PASS_INTERVAL_MS - 1, 1), (1000 + MIN_PASS_INTERVAL_MS, 0)] {
+    for (now, pause) in [
+        (1000, MIN_PASS_INTERVAL_MS),
+        (1000 + MIN_PASS_INTERVAL_MS - 1, 1),
+        (1000 + MIN_PASS_INTERVAL_MS, 0),
+    ] {
         assert_eq!(c.ms_until_next_pass(now), Some(pause), "{now}");
     }
     // Found on an own day of four times as many pipelines: passes over hundreds of waiting jobs
@@ -51,7 +55,10 @@
     // Whoever could find something must still look.
     type Edit = fn(&mut JobBody);
     let failed = spec(|b| (b.cpus, b.priority) = (4.0, Priority::Normal));
-    let full = FailedSearches { max_tasks_by_demand: vec![(failed.clone(), 0)], demands_without_victims: vec![] };
+    let full = FailedSearches {
+        max_tasks_by_demand: vec![(failed.clone(), 0)],
+        demands_without_victims: vec![],
+    };
     let cases: [(Edit, bool); 6] = [
         (|b| b.cpus = 4.0, true),
         (|b| b.cpus = 5.0, true),
@@ -65,7 +72,8 @@
     }
     // What may use spot machines looks for itself after one that may not.
     let strict = spec(|b| (b.cpus, b.spot) = (4.0, false));
-    let full = FailedSearches { max_tasks_by_demand: vec![(strict, 0)], demands_without_victims: vec![] };
+    let full =
+        FailedSearches { max_tasks_by_demand: vec![(strict, 0)], demands_without_victims: vec![] };
     assert!(!full.is_unplaceable(&spec(|b| (b.cpus, b.spot) = (5.0, true))));
 
     let ranked = |guaranteed| RankedJob {
@@ -78,7 +86,10 @@
     let gang = |b: &mut JobBody| {
         (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 3, 4.0, Priority::Normal);
     };
-    let full = FailedSearches { max_tasks_by_demand: vec![], demands_without_victims: vec![(ranked(false), spec(gang), 3)] };
+    let full = FailedSearches {
+        max_tasks_by_demand: vec![],
+        demands_without_victims: vec![(ranked(false), spec(gang), 3)],
+    };
     let cases: [(Edit, u32, bool, bool); 6] = [
         (gang, 3, false, true),
         (gang, 2, false, false),
@@ -87,8 +98,7 @@
         (gang, 3, true, false),
         (
             |b| {
-                (b.kind, b.tasks, b.cpus, b.priority) =
-                    (JobKind::Gang, 3, 4.0, Priority::High);
+                (b.kind, b.tasks, b.cpus, b.priority) = (JobKind::Gang, 3, 4.0, Priority::High);
             },
             3,
             false,
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,6 +1,6 @@
 //! The records kept at the state service: keys, values, changes and conditions.
 
-use copperhaven_fairness::carried::FairnessSnapshot;
+use copperhaven_fairness::snapshot::FairnessSnapshot;
 use copperhaven_rollout::{AbilitiesRecord, StagesRecord};
 use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::encode;
--- a/crates/core/src/safety_tests.rs
+++ b/crates/core/src/safety_tests.rs
@@ -1,12 +1,12 @@
 //! Tables of the cases on which safety rests, played on one leader's cell with stand-ins for
 //! worker and store. The random schedules in `tests/failures.rs` cover their combinations.
 
-use crate::admission::shape::resolve_spec;
+use crate::admission::feasibility::resolve_spec;
 use crate::for_tests::*;
-use crate::records::{Change, Condition, MachineRecord, AssignmentRecord, Record};
-use crate::state::cell::LeaderState;
-use crate::state::ledger::RecordKey;
+use crate::records::{AssignmentRecord, Change, Condition, MachineRecord, Record};
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
+use crate::state::write_queue::RecordKey;
 use crate::takeover::{Records, rebuild};
 use crate::workers::reports::ReportOutcome;
 use copperhaven_wire::jobs::JobKind;
@@ -101,7 +101,10 @@
     c.on_report(&report(1, 3, TERM, &[("wk-1/0", a, "running")]), START_MS + 1000);
     c.on_report(&report(1, 4, TERM - 1, &[]), START_MS + 1500);
     assert!(may_be_there(&c, mid, id));
-    assert_eq!(c.on_report(&report(1, 5, TERM + 1, &[]), START_MS), ReportOutcome::NewerTerm(TERM + 1));
+    assert_eq!(
+        c.on_report(&report(1, 5, TERM + 1, &[]), START_MS),
+        ReportOutcome::NewerTerm(TERM + 1)
+    );
 }
 
 #[test]
@@ -126,7 +129,11 @@
         zone: "north".into(),
         spot: false,
         session: 1,
-        assignments: vec![AssignmentRecord { job: "wk-1".into(), attempt: 5, task_ranges: vec![0, 2] }],
+        assignments: vec![AssignmentRecord {
+            job: "wk-1".into(),
+            attempt: 5,
+            task_ranges: vec![0, 2],
+        }],
     };
     let machines = vec![("m/n-1".to_string(), machine, 3)];
     let jobs = vec![("j/wk-1".into(), job, 2)];
@@ -263,8 +270,11 @@
 /// What `job` has on this machine fails there.
 fn fail(c: &mut LeaderState, machine: u32, tally: u64, job: JobId, now: u64) {
     let m = &c.machines[&c.machines.id_of(&format!("n-{machine}")).expect("known")];
-    let on: Vec<(String, u64, bool)> =
-        m.assignments.iter().map(|((id, t), e)| (c.task_id(*id, *t), e.attempt, *id == job)).collect();
+    let on: Vec<(String, u64, bool)> = m
+        .assignments
+        .iter()
+        .map(|((id, t), e)| (c.task_id(*id, *t), e.attempt, *id == job))
+        .collect();
     let status = |fails: bool| if fails { "ended:error" } else { "running" };
     let parcels: Vec<(&str, u64, &str)> =
         on.iter().map(|(p, a, fails)| (p.as_str(), *a, status(*fails))).collect();
@@ -309,7 +319,9 @@
     assert!(c.jobs[&jobs[0]].failures < 20, "{}", c.jobs[&jobs[0]].failures);
     // And a cancellation needs no pause to end.
     c.cancel(jobs[0], now);
-    assert!(c.jobs.get(&jobs[0]).is_none_or(|j| j.placement_counts.is_empty() && j.waiting.is_empty()));
+    assert!(
+        c.jobs.get(&jobs[0]).is_none_or(|j| j.placement_counts.is_empty() && j.waiting.is_empty())
+    );
 }
 
 #[test]
@@ -360,7 +372,10 @@
             _ => None,
         });
         let size = put.expect("recorded");
-        assert!(on >= least && size <= limit && c.write_queue.held_back_count() == 0, "{on} tasks, {size}");
+        assert!(
+            on >= least && size <= limit && c.write_queue.held_back_count() == 0,
+            "{on} tasks, {size}"
+        );
     }
 }
 
@@ -506,7 +521,11 @@
         zone: "north".into(),
         spot: false,
         session: 1,
-        assignments: vec![AssignmentRecord { job: "wk-1".into(), attempt: 5, task_ranges: vec![0, 3] }],
+        assignments: vec![AssignmentRecord {
+            job: "wk-1".into(),
+            attempt: 5,
+            task_ranges: vec![0, 3],
+        }],
     };
     for takeover in [START_MS, START_MS + 5_000, START_MS + 60_000] {
         let mut c = cell();
@@ -549,7 +568,8 @@
         let second = runs(&exchange_report(&mut c, &from(2, 2, &[]), START_MS))[0].0.clone();
         let first = if second == "wk-1/0" { "wk-1/1" } else { "wk-1/0" };
         exchange_report(&mut c, &from(2, 3, &[(&second, a, mate)]), START_MS + 1000);
-        let orders = exchange_report(&mut c, &from(1, 3, &[(first, a, "ended:alone")]), START_MS + 31_000);
+        let orders =
+            exchange_report(&mut c, &from(1, 3, &[(first, a, "ended:alone")]), START_MS + 31_000);
         if ends {
             assert_eq!(c.direct_requests.len(), 1, "its mate is halted at once");
             c.on_report(&from(2, 4, &[(&second, a, "ended:halted")]), START_MS + 32_000);
@@ -566,7 +586,8 @@
         ];
         assert_eq!(orders, again);
         // The response was lost: the same report once more gets the same orders.
-        let orders = exchange_report(&mut c, &from(1, 4, &[(first, a, "ended:alone")]), START_MS + 35_000);
+        let orders =
+            exchange_report(&mut c, &from(1, 4, &[(first, a, "ended:alone")]), START_MS + 35_000);
         assert_eq!(orders, again);
         exchange_report(&mut c, &from(1, 5, &[(first, a, "waiting")]), START_MS + 36_000);
         c.check_invariants();
@@ -628,7 +649,8 @@
         c.on_report(&at(n, zone, 1), START_MS);
     }
     let zones = |c: &LeaderState| -> Vec<ZoneId> {
-        let mut zones: Vec<ZoneId> = c.rental_demand(START_MS).iter().map(|((_, z, _), _)| *z).collect();
+        let mut zones: Vec<ZoneId> =
+            c.rental_demand(START_MS).iter().map(|((_, z, _), _)| *z).collect();
         zones.dedup();
         zones
     };
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -494,7 +494,11 @@
             let s: Settings = toml::from_str(&text).expect(next);
             assert!(s.check().is_ok(), "{next}");
             let l = &s.deployment.state;
-            assert_eq!((l.rps(), l.write_rps(), l.max_value_bytes(), l.txn_ops()), expected, "{next}");
+            assert_eq!(
+                (l.rps(), l.write_rps(), l.max_value_bytes(), l.txn_ops()),
+                expected,
+                "{next}"
+            );
         }
     }
 
--- a/crates/core/src/state/served.rs
+++ b/crates/core/src/state/fairness_accounting.rs
@@ -1,14 +1,14 @@
 //! What the ledger of service is told of jobs and tasks.
 
-use crate::records::{Record, MAX_FAIRNESS_PARTS, FairnessRecord};
-use crate::state::cell::LeaderState;
+use crate::records::{FairnessRecord, MAX_FAIRNESS_PARTS, Record};
 use crate::state::job::{Job, JobSpec, secs_to_ms};
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
-use copperhaven_fairness::carried::FairnessSnapshot;
+use crate::state::write_queue::RecordKey;
+use copperhaven_fairness::capacity::TaskCapacity;
 use copperhaven_fairness::ledger::{FairnessCounters, FairnessLedger};
-use copperhaven_fairness::room::TaskCapacity;
-use copperhaven_fairness::{self as fairness, Class, TeamClass, Team};
+use copperhaven_fairness::snapshot::FairnessSnapshot;
+use copperhaven_fairness::{self as fairness, Class, Team, TeamClass};
 
 /// A job that fails wherever it starts is nobody's neglect; it is looked at again after this long.
 const EXCUSED_MS: u64 = 30_000;
@@ -26,7 +26,11 @@
 
 /// What of the ledger of service is recorded, in parts that fit into a value. What doesn't fit into all of
 /// them is lost: pairs of team and class that were served least of late.
-pub fn record_parts(service: &FairnessLedger, names: &Names, most: usize) -> Vec<Vec<FairnessSnapshot>> {
+pub fn record_parts(
+    service: &FairnessLedger,
+    names: &Names,
+    most: usize,
+) -> Vec<Vec<FairnessSnapshot>> {
     let name = |(team, class): TeamClass| {
         (names.teams.name(team.0 as usize).into(), names.classes.name(class.0 as usize).into())
     };
@@ -61,12 +65,17 @@
             own += if job.spec.team == team { of(job) } else { 0 };
         }
         let most = self.settings.max_open_tasks() as u64;
-        TaskCapacity { max_tasks: most, teams: self.team_usage.len() as u64 }.can_admit(all, own, u64::from(tasks))
+        TaskCapacity { max_tasks: most, teams: self.team_usage.len() as u64 }.can_admit(
+            all,
+            own,
+            u64::from(tasks),
+        )
     }
 
     /// Has the ledger of service recorded, for a successor.
     pub fn record_fairness(&mut self) {
-        let parts = record_parts(&self.fairness_ledger, &self.names, self.write_queue.value_limit).len();
+        let parts =
+            record_parts(&self.fairness_ledger, &self.names, self.write_queue.value_limit).len();
         for part in 0..parts as u32 {
             self.mark_dirty(RecordKey::FairnessPart(part));
         }
@@ -102,8 +111,11 @@
             let cpus = |n: fn(&Job) -> u32| -> f64 {
                 self.jobs.values().filter(own).map(|j| j.spec.cpus * f64::from(n(j))).sum()
             };
-            let (on, runs, waits) =
-                (cpus(|j| j.placement_counts.values().sum()), cpus(|j| j.running), cpus(|j| j.waiting.len()));
+            let (on, runs, waits) = (
+                cpus(|j| j.placement_counts.values().sum()),
+                cpus(|j| j.running),
+                cpus(|j| j.waiting.len()),
+            );
             let text = tell(self.names.classes.name(class.0 as usize), row);
             out.push(format!("{text}: {on:.0} CPUs, {runs:.0} run, {waits:.0} wait"));
         }
@@ -128,7 +140,12 @@
     pub(crate) fn open_fairness(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let aim = self.aim_ms(&job.spec);
-        self.fairness_ledger.job_opened(fairness_job(id), fairness_pair(&job.spec), job.eligible_mono_ms, aim);
+        self.fairness_ledger.job_opened(
+            fairness_job(id),
+            fairness_pair(&job.spec),
+            job.eligible_mono_ms,
+            aim,
+        );
     }
 
     /// Time passes: open jobs become late, but for those that fail wherever they start.
--- a/crates/core/src/state/finals.rs
+++ b/crates/core/src/state/final_record_cache.rs
@@ -46,7 +46,11 @@
                 f.insert(format!("wk-{n}").into(), FinalRecord { done: true, tasks: n });
             }
         }
-        assert!(!f.contains("wk-0") && !f.contains("wk-1") && f.get("wk-2").is_some_and(|r| r.tasks == 2));
+        assert!(
+            !f.contains("wk-0")
+                && !f.contains("wk-1")
+                && f.get("wk-2").is_some_and(|r| r.tasks == 2)
+        );
         assert_eq!(f.records.len(), FINALS_KEPT);
     }
 }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -131,7 +131,13 @@
 
     /// How long a boot may take before it is overdue: half as long again as the nominal time, or
     /// as what was lately seen of this type in this zone, if that is longer.
-    pub(crate) fn boot_deadline_ms(&self, kind: TypeId, zone: ZoneId, nominal_s: f64, now: u64) -> u64 {
+    pub(crate) fn boot_deadline_ms(
+        &self,
+        kind: TypeId,
+        zone: ZoneId,
+        nominal_s: f64,
+        now: u64,
+    ) -> u64 {
         let nominal = (nominal_s * 1000.0) as u64;
         let seen = self.recent_boots.get(&(kind, zone)).into_iter().flatten();
         let lately = seen.filter(|(at, _)| now < at + BOOTS_MS).map(|(_, took)| *took);
@@ -150,7 +156,8 @@
     }
 
     pub fn is_rentable(&self, kind: TypeId, zone: ZoneId, spot: bool, now: u64) -> bool {
-        !self.is_backing_off(&(kind, zone, false), now) || (spot && !self.is_backing_off(&(kind, zone, true), now))
+        !self.is_backing_off(&(kind, zone, false), now)
+            || (spot && !self.is_backing_off(&(kind, zone, true), now))
     }
 
     pub fn rental_record(&self, name: &str, names: &Names) -> Option<RentalRecord> {
@@ -166,7 +173,8 @@
     /// A rental that an earlier leader may have asked for: asked again under the same name, it
     /// gets the same answer.
     pub fn restore_rental(&mut self, name: &str, what: RentalKind, number: u32) {
-        let rental = Rental { kind: what, number, ver: 0, retry_at: 0, in_flight: false, resolved: false };
+        let rental =
+            Rental { kind: what, number, ver: 0, retry_at: 0, in_flight: false, resolved: false };
         self.rentals.insert(name.into(), rental);
     }
 
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -2,8 +2,8 @@
 
 use crate::state::names::*;
 use crate::state::table::HasName;
-use crate::state::tasks::TaskSet;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use crate::state::task_set::TaskSet;
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -220,7 +220,9 @@
     /// Its tasks have failed on one machine after the other, and none is known to run: it is tried
     /// one task at a time.
     pub fn is_failing(&self) -> bool {
-        !self.known_to_run && self.done.is_empty() && (self.failed_on.len() >= 2 || self.failures >= 3)
+        !self.known_to_run
+            && self.done.is_empty()
+            && (self.failed_on.len() >= 2 || self.failures >= 3)
     }
 
     pub fn remaining_tasks(&self) -> u32 {
--- a/crates/core/src/state/cell.rs
+++ b/crates/core/src/state/leader_state.rs
@@ -3,25 +3,25 @@
 
 use crate::records::Condition;
 use crate::settings::Settings;
-use crate::state::aside::UnreadableRecords;
-use crate::state::finals::FinalRecordCache;
-use crate::state::fleet::{MachineType, Fleet};
-use crate::state::job::{DONE_CHUNK_TASKS, Job, DONE_CHUNK_PARTS, JobSpec, secs_to_ms};
-use crate::state::ledger::{RecordKey, WriteQueue};
-use crate::state::links::Dependencies;
-use crate::state::machine::{DirectRequest, Assignment, Machine, ObservedState};
+use crate::state::dependencies::Dependencies;
+use crate::state::fairness_accounting;
+use crate::state::final_record_cache::FinalRecordCache;
+use crate::state::fleet::{Fleet, MachineType};
+use crate::state::job::{DONE_CHUNK_PARTS, DONE_CHUNK_TASKS, Job, JobSpec, secs_to_ms};
+use crate::state::job_sizes::JobSizes;
+use crate::state::machine::{Assignment, DirectRequest, Machine, ObservedState};
 use crate::state::names::*;
 use crate::state::packs::Packs;
-use crate::state::rates::RunTimes;
-use crate::state::served;
-use crate::state::sizes::JobSizes;
+use crate::state::run_times::RunTimes;
 use crate::state::table::Table;
-use crate::state::teams::{StoppableGroup, TeamUsage, Usage};
+use crate::state::team_usage::{StoppableGroup, TeamUsage, Usage};
+use crate::state::unreadable::UnreadableRecords;
+use crate::state::write_queue::{RecordKey, WriteQueue};
+use copperhaven_fairness::deficit::Deficits;
 use copperhaven_fairness::ledger::FairnessLedger;
-use copperhaven_fairness::need::Deficits;
 use copperhaven_recovery::phase::Recovery;
-use copperhaven_recovery::square::OutcomeCounts;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_recovery::reconcile::OutcomeCounts;
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -185,7 +185,8 @@
             unknown.cpus += (m.cpus - m.used_cpus).max(0.0);
             unknown.gpus += (m.gpus - m.used_gpus).max(0.0);
         }
-        let largest = |f: fn(&MachineType) -> f64| self.machine_types.iter().map(f).fold(0.0, f64::max);
+        let largest =
+            |f: fn(&MachineType) -> f64| self.machine_types.iter().map(f).fold(0.0, f64::max);
         let hidden = self.unreadable.machines().count() as f64;
         unknown.cpus += hidden * largest(|f| f.cpus);
         unknown.gpus += hidden * largest(|f| f.gpus);
@@ -232,11 +233,9 @@
     pub fn is_done_saved(&self, id: JobId, task: u32) -> bool {
         let Some(job) = self.jobs.get(&id) else { return true };
         job.done.contains(task)
-            && (job
-                .unsaved
-                .get(&task)
-                .is_none_or(|v| self.is_saved(&RecordKey::DoneChunk(id, task / DONE_CHUNK_TASKS), *v))
-                || job.final_ver.is_some_and(|v| self.is_saved(&RecordKey::Job(id), v)))
+            && (job.unsaved.get(&task).is_none_or(|v| {
+                self.is_saved(&RecordKey::DoneChunk(id, task / DONE_CHUNK_TASKS), *v)
+            }) || job.final_ver.is_some_and(|v| self.is_saved(&RecordKey::Job(id), v)))
     }
 
     /// Changes a job's priority; what its tasks use is counted under the new one.
@@ -257,7 +256,8 @@
 
     /// Does a deadline further on press this job, which waited for others or is waited for?
     pub fn is_pressed(&self, job: &Job) -> bool {
-        job.effective_deadline.is_some() && (job.spec.deadline_s.is_none() || job.eligible_mono_ms != job.accepted_mono_ms)
+        job.effective_deadline.is_some()
+            && (job.spec.deadline_s.is_none() || job.eligible_mono_ms != job.accepted_mono_ms)
     }
 
     /// Makes a job final once nothing of it is open: all done, or cancelled with no task left
@@ -296,7 +296,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.final_ver = Some(ver);
             if done {
-                self.fairness_ledger.job_done(served::fairness_job(id));
+                self.fairness_ledger.job_done(fairness_accounting::fairness_job(id));
             }
             job.routed_by_pool.iter_mut().for_each(|r| *r = 0);
         }
@@ -412,7 +412,7 @@
         let Some(job) = self.jobs.get(&id).filter(|j| j.spec.kind != JobKind::Gang) else { return };
         if let Some(Some(groups)) = self.stoppable.get_mut(job.spec.team.index()) {
             let at = (mid, id, task, attempt);
-            let group = (served::fairness_pair(&job.spec), job.guaranteed);
+            let group = (fairness_accounting::fairness_pair(&job.spec), job.guaranteed);
             StoppableGroup::add(groups, group, &job.spec, at, 0.0);
         }
     }
@@ -445,7 +445,8 @@
         let (zone, empty) = (m.zone, m.assignments.is_empty());
         let job = self.jobs.get_mut(&id)?;
         m.remove_task(&job.spec, empty);
-        job.placements_by_zone[zone.index()] = job.placements_by_zone[zone.index()].saturating_sub(1);
+        job.placements_by_zone[zone.index()] =
+            job.placements_by_zone[zone.index()].saturating_sub(1);
         if entry.observed == ObservedState::Running {
             job.running = job.running.saturating_sub(1);
         }
@@ -461,7 +462,8 @@
         };
         if left == 0 && job.is_open() && !job.done.contains(task) {
             job.waiting.insert(task);
-            let pool = zone.index() * self.machine_types.len() + self.machines[&mid].machine_type.index();
+            let pool =
+                zone.index() * self.machine_types.len() + self.machines[&mid].machine_type.index();
             if let Some(r) = job.routed_by_pool.get_mut(pool) {
                 *r += 1;
             }
@@ -512,13 +514,15 @@
                 "being stopped of {}",
                 team.name
             );
-            let parts: f64 = (0..4).map(|p| self.team_usage.usage_by_priority(TeamId::from(t)).total_at(p).cpus).sum();
+            let parts: f64 = (0..4)
+                .map(|p| self.team_usage.usage_by_priority(TeamId::from(t)).total_at(p).cpus)
+                .sum();
             assert!((used - parts).abs() < 1e-6, "parts of {}", team.name);
             assert!(used <= team.cpus_max + 1e-6, "limit of {}", team.name);
         }
         let mut open: BTreeMap<_, u32> = BTreeMap::new();
         for (_, id) in &self.queue {
-            *open.entry(served::fairness_pair(&self.jobs[id].spec)).or_default() += 1;
+            *open.entry(fairness_accounting::fairness_pair(&self.jobs[id].spec)).or_default() += 1;
         }
         for (pair, (n, late)) in self.fairness_ledger.recount() {
             assert_eq!(open.remove(&pair), Some(n), "open jobs of {pair:?}");
@@ -530,7 +534,11 @@
             let on: u32 = job.placement_counts.values().sum();
             assert_eq!(on, job.placements_by_zone.iter().sum::<u32>());
             let waits = job.is_open() && !job.pending_dependencies.is_empty();
-            assert!(!waits || (job.placement_counts.is_empty() && job.routed_by_pool.iter().all(|r| *r == 0)));
+            assert!(
+                !waits
+                    || (job.placement_counts.is_empty()
+                        && job.routed_by_pool.iter().all(|r| *r == 0))
+            );
             for task in job.waiting.iter() {
                 assert!(!job.done.contains(task) && !job.placement_counts.contains_key(&task));
             }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,9 +1,9 @@
 //! Machines: what each may hold, and what its worker last said.
 
 use crate::records::AssignmentRecord;
-use crate::state::hearing::ResponseTracker;
 use crate::state::job::JobSpec;
 use crate::state::names::*;
+use crate::state::response_tracker::ResponseTracker;
 use crate::state::table::HasName;
 use copperhaven_wire::workers::Order;
 use std::collections::BTreeMap;
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -5,21 +5,21 @@
 //! times (`rates`), rentals (`fleet`), what could
 //! not be read (`aside`). The slices act on the cell; nothing here imports a slice.
 
-pub mod aside;
-pub mod book;
-pub mod cell;
-pub mod finals;
+pub mod dependencies;
+pub mod fairness_accounting;
+pub mod final_record_cache;
 pub mod fleet;
-pub mod hearing;
 pub mod job;
-pub mod ledger;
-pub mod links;
+pub mod job_sizes;
+pub mod leader_state;
 pub mod machine;
 pub mod names;
 pub mod packs;
-pub mod rates;
-pub mod served;
-pub mod sizes;
+pub mod record_rendering;
+pub mod response_tracker;
+pub mod run_times;
 pub mod table;
-pub mod tasks;
-pub mod teams;
+pub mod task_set;
+pub mod team_usage;
+pub mod unreadable;
+pub mod write_queue;
--- a/crates/core/src/state/packs.rs
+++ b/crates/core/src/state/packs.rs
@@ -165,7 +165,11 @@
         let mut from = 0;
         while from < dirty.len() {
             let left = dirty.len() - settled.len();
-            let most = if crowded { ALONG } else { (MAX_PACK_MACHINES - left.min(MAX_PACK_MACHINES)).min(ALONG) };
+            let most = if crowded {
+                ALONG
+            } else {
+                (MAX_PACK_MACHINES - left.min(MAX_PACK_MACHINES)).min(ALONG)
+            };
             let upto = targets.partition_point(|(along, _)| *along <= most);
             let (pack, there) = match upto.checked_sub(1) {
                 Some(i) => {
@@ -182,7 +186,9 @@
             if count > MAX_PACK_MACHINES || bytes > limit {
                 continue;
             }
-            settled.extend(there.iter().filter(|m| all.contains(m) && self.pack_of(**m) == Some(pack)));
+            settled.extend(
+                there.iter().filter(|m| all.contains(m) && self.pack_of(**m) == Some(pack)),
+            );
             for d in dirty[from..].iter() {
                 if settled.contains(&d.machine_id) {
                     continue;
@@ -419,7 +425,10 @@
                 .flatten()
                 .map(|m| sizes[m.0 as usize])
                 .collect();
-            assert!(on.len() <= 1 || on.iter().sum::<usize>() <= LIMIT - PACK_OVERHEAD_BYTES, "{on:?}");
+            assert!(
+                on.len() <= 1 || on.iter().sum::<usize>() <= LIMIT - PACK_OVERHEAD_BYTES,
+                "{on:?}"
+            );
         }
     }
 }
--- a/crates/core/src/state/book.rs
+++ b/crates/core/src/state/record_rendering.rs
@@ -1,17 +1,17 @@
 //! What the records of a cell say: each is rendered from the state as it is now.
 
 use crate::records::*;
-use crate::state::aside::UnreadableRecords;
-use crate::state::cell::LeaderState;
+use crate::state::dependencies::Dependencies;
+use crate::state::fairness_accounting;
 use crate::state::fleet::Fleet;
-use crate::state::job::{DONE_CHUNK_TASKS, Job, DONE_CHUNK_PARTS};
-use crate::state::ledger::{RecordKey, WriteQueue, RecordSource};
-use crate::state::links::Dependencies;
+use crate::state::job::{DONE_CHUNK_PARTS, DONE_CHUNK_TASKS, Job};
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::Machine;
 use crate::state::names::*;
 use crate::state::packs::{PACK_OVERHEAD_BYTES, PackId, Packs};
-use crate::state::served;
 use crate::state::table::Table;
+use crate::state::unreadable::UnreadableRecords;
+use crate::state::write_queue::{RecordKey, RecordSource, WriteQueue};
 use copperhaven_fairness::ledger::FairnessLedger;
 use copperhaven_wire::jobs::JobBody;
 use std::collections::BTreeMap;
@@ -47,11 +47,20 @@
         if !job.pending_dependencies.is_empty() && !job.is_cancelled() {
             let listed = self.links.inline_dependencies(job);
             let on = listed.map(ToString::to_string).collect();
-            waits = Some(DependencyWait { dependencies: on, machine_types: body.machine_types.replace(vec![]), parts: job.dependency_parts });
+            waits = Some(DependencyWait {
+                dependencies: on,
+                machine_types: body.machine_types.replace(vec![]),
+                parts: job.dependency_parts,
+            });
         }
         let since = (job.eligible_at_ms != job.accepted_at_ms).then_some(job.eligible_at_ms);
-        let mut record =
-            JobRecord { job: body, accepted_at_ms: job.accepted_at_ms, cancelled: job.is_cancelled(), dependency_wait: waits, eligible_at_ms: since };
+        let mut record = JobRecord {
+            job: body,
+            accepted_at_ms: job.accepted_at_ms,
+            cancelled: job.is_cancelled(),
+            dependency_wait: waits,
+            eligible_at_ms: since,
+        };
         if record.cancelled && Record::Job(Box::new(record.clone())).encoded_len() > most {
             // Accepted under a higher limit. That it is cancelled has to be recorded; of its names
             // only the team's counts from here on.
@@ -120,7 +129,9 @@
             RecordKey::DependencyPart(id, part) => {
                 let Some(job) = self.jobs.get(id) else { return vec![] };
                 let Some(on) = self.links.part(&job.spec.uid, *part) else { return vec![] };
-                let record = DependenciesRecord { dependencies: on.iter().map(ToString::to_string).collect() };
+                let record = DependenciesRecord {
+                    dependencies: on.iter().map(ToString::to_string).collect(),
+                };
                 vec![put(format!("a/{}/{part}", job.spec.uid), Record::Links(record))]
             }
             RecordKey::DoneChunk(id, chunk) => {
@@ -133,13 +144,17 @@
                 let whole = format!("d/{}/{chunk}", job.spec.uid);
                 let record = ranges(from, DONE_CHUNK_TASKS);
                 // A record that can't be read is left as it is; the parts are as good.
-                if record.encoded_len() <= ledger.value_limit && !self.aside.is_write_protected(&whole) {
+                if record.encoded_len() <= ledger.value_limit
+                    && !self.aside.is_write_protected(&whole)
+                {
                     return vec![put(whole, record)];
                 }
                 // Too scattered for one value: in parts, which an older version reads as well.
                 let n = DONE_CHUNK_TASKS / DONE_CHUNK_PARTS;
                 let part = |p| (format!("{whole}/{p}"), ranges(from + p * n, n));
-                let parts = (0..DONE_CHUNK_PARTS).map(part).filter(|(path, _)| !self.aside.is_write_protected(path));
+                let parts = (0..DONE_CHUNK_PARTS)
+                    .map(part)
+                    .filter(|(path, _)| !self.aside.is_write_protected(path));
                 parts.map(|(path, record)| put(path, record)).collect()
             }
             RecordKey::Pack(pack) => self.pack(*pack, ledger),
@@ -163,9 +178,13 @@
                 None => vec![],
             },
             RecordKey::FairnessPart(part) => {
-                let parts = served::record_parts(self.service, self.names, ledger.value_limit);
+                let parts =
+                    fairness_accounting::record_parts(self.service, self.names, ledger.value_limit);
                 let Some(rows) = parts.into_iter().nth(*part as usize) else { return vec![] };
-                vec![put(format!("{FAIRNESS_PREFIX}{part}"), Record::Service(FairnessRecord { rows }))]
+                vec![put(
+                    format!("{FAIRNESS_PREFIX}{part}"),
+                    Record::Service(FairnessRecord { rows }),
+                )]
             }
             RecordKey::Delete(path) => vec![Change::Delete { path: path.clone() }],
         }
@@ -181,7 +200,9 @@
     /// Nobody waits for the end of a job that follows from another's.
     fn is_deferrable(&self, key: &RecordKey, ledger: &WriteQueue) -> bool {
         let RecordKey::Job(id) = key else { return false };
-        self.jobs.get(id).is_some_and(|j| j.cancelled_by_dependency && ledger.is_saved(key, j.accept_ver))
+        self.jobs
+            .get(id)
+            .is_some_and(|j| j.cancelled_by_dependency && ledger.is_saved(key, j.accept_ver))
     }
 
     /// A job's record says that all it waits for is recorded.
@@ -202,9 +223,19 @@
 impl LeaderState {
     /// How long the record of a waiting job is without the jobs that it waits for.
     pub fn record_bytes_without_dependencies(&self, job: &JobBody) -> usize {
-        let waits = Some(DependencyWait { dependencies: vec![], machine_types: job.machine_types.clone(), parts: u32::MAX });
+        let waits = Some(DependencyWait {
+            dependencies: vec![],
+            machine_types: job.machine_types.clone(),
+            parts: u32::MAX,
+        });
         let (at, since) = (u64::MAX, Some(u64::MAX));
-        let record = JobRecord { job: job.clone(), accepted_at_ms: at, cancelled: false, dependency_wait: waits, eligible_at_ms: since };
+        let record = JobRecord {
+            job: job.clone(),
+            accepted_at_ms: at,
+            cancelled: false,
+            dependency_wait: waits,
+            eligible_at_ms: since,
+        };
         Record::Job(Box::new(record)).encoded_len()
     }
 
@@ -213,18 +244,24 @@
     pub fn record_bytes_left(&self, m: &Machine) -> usize {
         let most = self.write_queue.value_limit;
         // Alone in a pack, if it is that long.
-        let most = if self.packs.is_enabled() { most.saturating_sub(PACK_OVERHEAD_BYTES) } else { most };
+        let most =
+            if self.packs.is_enabled() { most.saturating_sub(PACK_OVERHEAD_BYTES) } else { most };
         most.saturating_sub(self.record_bytes_used(m))
     }
 
     /// Bytes that the list of a machine takes of a value at most.
     pub(crate) fn record_bytes_used(&self, m: &Machine) -> usize {
-        let names =
-            self.names.types.name(m.machine_type.index()).len() + self.names.zones.name(m.zone.index()).len();
+        let names = self.names.types.name(m.machine_type.index()).len()
+            + self.names.zones.name(m.zone.index()).len();
         // Its name stands in a pack, and a little around it.
         let packed = if self.packs.is_enabled() { m.name.len() + 8 } else { 0 };
-        let foreign: usize =
-            m.unreadable_job_tasks.iter().map(|on| MAX_TASK_GROUP_BYTES + on.job.len() + on.task_ranges.len() * MAX_TASK_RANGE_BYTES).sum();
+        let foreign: usize = m
+            .unreadable_job_tasks
+            .iter()
+            .map(|on| {
+                MAX_TASK_GROUP_BYTES + on.job.len() + on.task_ranges.len() * MAX_TASK_RANGE_BYTES
+            })
+            .sum();
         let base = 96 + m.addr.len() + names + packed + foreign;
         // Most machines hold few tasks: no need to look closer.
         let rough = m.assignments.len() * (MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES);
--- a/crates/core/src/state/hearing.rs
+++ b/crates/core/src/state/response_tracker.rs
@@ -47,7 +47,9 @@
         });
         let forget = || {
             orders.iter().find_map(|o| match o {
-                Order::Forget { task_id: parcel, attempt } => Some(Sign::Lacks(parcel.clone(), *attempt)),
+                Order::Forget { task_id: parcel, attempt } => {
+                    Some(Sign::Lacks(parcel.clone(), *attempt))
+                }
                 _ => None,
             })
         };
--- a/crates/core/src/state/rates.rs
+++ b/crates/core/src/state/run_times.rs
@@ -14,7 +14,11 @@
 
 impl RunTimes {
     pub fn new(pools: usize, window: f64) -> RunTimes {
-        RunTimes { window, by_pool: vec![FxHashMap::default(); pools], by_class: FxHashMap::default() }
+        RunTimes {
+            window,
+            by_pool: vec![FxHashMap::default(); pools],
+            by_class: FxHashMap::default(),
+        }
     }
 
     pub fn record_run(&mut self, pool: usize, class: ClassId, seconds: f64) {
--- a/crates/core/src/state/teams.rs
+++ b/crates/core/src/state/team_usage.rs
@@ -3,7 +3,7 @@
 use crate::state::job::JobSpec;
 use crate::state::names::{JobId, MachineId, TeamId};
 use copperhaven_fairness::TeamClass;
-use copperhaven_wire::jobs::{Priority, JobKind};
+use copperhaven_wire::jobs::{JobKind, Priority};
 
 /// What a team's tasks may be using: every task that may be on a machine counts.
 #[derive(Debug, Clone, Copy, Default)]
@@ -79,12 +79,25 @@
         let same = |g: &StoppableGroup| (g.pair, g.priority, g.guaranteed) == key;
         let at = groups.iter().position(same).unwrap_or_else(|| {
             let (tasks, uses) = (vec![], Usage::default());
-            groups.push(StoppableGroup { pair, priority: precedence, guaranteed, tasks, usage: uses });
+            groups.push(StoppableGroup {
+                pair,
+                priority: precedence,
+                guaranteed,
+                tasks,
+                usage: uses,
+            });
             groups.len() - 1
         });
         let uses = Usage { cpus: spec.cpus, gpus: spec.gpus };
         groups[at].usage.add(spec, 1.0);
-        groups[at].tasks.push(Stoppable { lost_s, machine_id: mid, id, task, attempt, usage: uses });
+        groups[at].tasks.push(Stoppable {
+            lost_s,
+            machine_id: mid,
+            id,
+            task,
+            attempt,
+            usage: uses,
+        });
     }
 
     /// Leaves the `n` dearest.
@@ -206,7 +219,10 @@
             s.kind = shape;
             (0..n).for_each(|_| teams.add(&s));
             assert_eq!(teams.usage(s.team).cpus, s.cpus * f64::from(n));
-            assert_eq!(teams.usage_by_priority(s.team).total_at(s.priority as usize).cpus, s.cpus * f64::from(n));
+            assert_eq!(
+                teams.usage_by_priority(s.team).total_at(s.priority as usize).cpus,
+                s.cpus * f64::from(n)
+            );
             let was = s.priority;
             teams.set_priority(&mut s, f64::from(n), Priority::High);
             assert_eq!(teams.usage_by_priority(s.team).total_at(was as usize).cpus, 0.0);
--- a/crates/core/src/state/aside.rs
+++ b/crates/core/src/state/unreadable.rs
@@ -93,7 +93,8 @@
 
     #[test]
     fn a_machine_of_which_nothing_is_known_may_hold_anything() {
-        let some = |uids: &[&str]| PossibleTasks::Jobs(uids.iter().map(ToString::to_string).collect());
+        let some =
+            |uids: &[&str]| PossibleTasks::Jobs(uids.iter().map(ToString::to_string).collect());
         type Case<'a> = (&'a [(&'a str, PossibleTasks)], bool, bool);
         let cases: [Case; 4] = [
             (&[], false, false),
--- a/crates/core/src/state/ledger.rs
+++ b/crates/core/src/state/write_queue.rs
@@ -269,8 +269,9 @@
     /// Finished ranges are many and nobody waits for them (a job that is over has its final
     /// record instead): one in eight changes is of them, and each record says more.
     fn urgent(&self, source: &impl RecordSource) -> Vec<RecordKey> {
-        let urgency =
-            |key: &RecordKey| if source.is_deferrable(key, self) { RecordKey::LAST } else { key.urgency() };
+        let urgency = |key: &RecordKey| {
+            if source.is_deferrable(key, self) { RecordKey::LAST } else { key.urgency() }
+        };
         let mut order: Vec<(u8, u64, &RecordKey)> =
             self.dirty.iter().map(|(key, (since, _))| (urgency(key), *since, key)).collect();
         order.sort_unstable();
@@ -295,8 +296,12 @@
     /// The next transaction: at most `ops` changes and 48 KiB, the most urgent keys first, with
     /// `reserve` of the changes left to what users wait for.
     pub fn draft_batch(&mut self, source: &impl RecordSource, ops: usize, reserve: usize) -> Draft {
-        let mut batch =
-            Batch { ver: self.ver, keys: vec![], conditions: vec![self.leader_condition.clone()], changes: vec![] };
+        let mut batch = Batch {
+            ver: self.ver,
+            keys: vec![],
+            conditions: vec![self.leader_condition.clone()],
+            changes: vec![],
+        };
         self.ranges_due = (self.ranges_due + ops as f64 * RANGES_PART).min(ops as f64).max(0.0);
         let mut size = 0;
         let mut idle = vec![];
@@ -488,8 +493,15 @@
     fn users_go_first_then_the_longest_waiting_and_a_quarter_is_ranges() {
         let mut l = ledger();
         let done = |n| RecordKey::DoneChunk(JobId(n), 0);
-        let keys =
-            [RecordKey::Delete("x".into()), done(1), done(2), machine(1), job(2), machine(2), job(1)];
+        let keys = [
+            RecordKey::Delete("x".into()),
+            done(1),
+            done(2),
+            machine(1),
+            job(2),
+            machine(2),
+            job(1),
+        ];
         for key in keys.iter().chain([&machine(1)]) {
             l.mark_dirty(key.clone());
         }
@@ -629,6 +641,9 @@
         let one = Batch { keys: vec![machine(1)], changes: long, ..both };
         let bytes = one.changes[0].encoded_len();
         assert_eq!(l.batch_rejected(&one), Some(machine(1)));
-        assert_eq!((l.value_limit, l.dirty_count(), l.commit_stats.refused_too_large), (bytes - 1, 1, 2));
+        assert_eq!(
+            (l.value_limit, l.dirty_count(), l.commit_stats.refused_too_large),
+            (bytes - 1, 1, 2)
+        );
     }
 }
--- a/crates/core/src/sweep.rs
+++ b/crates/core/src/sweep.rs
@@ -2,7 +2,7 @@
 //! done. What is in none would never run and nobody would notice. A sweep looks through all jobs now and then and puts
 //! back what was lost; what it finds is a defect, and is named.
 
-use crate::state::cell::{LeaderState, SweepCounts};
+use crate::state::leader_state::{LeaderState, SweepCounts};
 use crate::state::names::JobId;
 
 impl LeaderState {
@@ -20,11 +20,14 @@
             let turn = (job.eligible_at_ms, id);
             let twice = job.placement_counts.keys().filter(|t| job.done.contains(**t)).count();
             let known =
-                job.waiting.len() as usize + job.done.len() as usize + job.placement_counts.len() - twice;
+                job.waiting.len() as usize + job.done.len() as usize + job.placement_counts.len()
+                    - twice;
             let mut lost = vec![];
             if known < job.spec.tasks as usize {
                 let nowhere = |t: &u32| {
-                    !job.waiting.contains(*t) && !job.done.contains(*t) && !job.placement_counts.contains_key(t)
+                    !job.waiting.contains(*t)
+                        && !job.done.contains(*t)
+                        && !job.placement_counts.contains_key(t)
                 };
                 lost = (0..job.spec.tasks).filter(nowhere).collect();
             }
@@ -55,7 +58,9 @@
     /// about to be recorded or over.
     pub fn untracked_jobs<'a>(&self, uids: impl Iterator<Item = &'a str>) -> Vec<String> {
         let unknown = |uid: &&str| {
-            !self.jobs.contains_name(uid) && !self.final_records.contains(uid) && self.unreadable.job_reason(uid).is_none()
+            !self.jobs.contains_name(uid)
+                && !self.final_records.contains(uid)
+                && self.unreadable.job_reason(uid).is_none()
         };
         uids.filter(unknown).map(ToString::to_string).collect()
     }
@@ -85,7 +90,8 @@
                 |c, id| {
                     let turn = (c.jobs[&id].eligible_at_ms, id);
                     c.queue.remove(&turn);
-                    c.fairness_ledger.remove_job(crate::state::served::fairness_job(id));
+                    c.fairness_ledger
+                        .remove_job(crate::state::fairness_accounting::fairness_job(id));
                 },
                 SweepCounts { jobs: 1, tasks: 0 },
             ),
@@ -94,7 +100,8 @@
                 |c, id| {
                     let turn = (c.jobs[&id].eligible_at_ms, id);
                     c.queue.remove(&turn);
-                    c.fairness_ledger.remove_job(crate::state::served::fairness_job(id));
+                    c.fairness_ledger
+                        .remove_job(crate::state::fairness_accounting::fairness_job(id));
                     let job = c.jobs.get_mut(&id).expect("there");
                     job.done.insert(1);
                     job.waiting.clear();
@@ -105,7 +112,8 @@
         for (what, drop, expected) in rows {
             let mut c = cell();
             let id = add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (3, 1.0, None));
-            let other = add_job(&mut c, "wk-2", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
+            let other =
+                add_job(&mut c, "wk-2", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
             commit(&mut c);
             drop(&mut c, id);
             assert_eq!(c.sweep(), expected, "{what}");
--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -1,14 +1,14 @@
 //! Takeover: all that a new leader knows, from the records alone (DESIGN, the leader paragraph).
 
-use crate::admission::shape::resolve_spec;
+use crate::admission::feasibility::resolve_spec;
 use crate::records::*;
-use crate::state::aside::PossibleTasks;
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::{DONE_CHUNK_TASKS, MAX_TIME_MS, WaitReason};
-use crate::state::ledger::RecordKey;
-use crate::state::machine::{DirectRequest, Assignment};
+use crate::state::leader_state::LeaderState;
+use crate::state::machine::{Assignment, DirectRequest};
 use crate::state::packs::{MAX_PACK_MACHINES as PACKED, PackId};
-use crate::state::served;
+use crate::state::unreadable::PossibleTasks;
+use crate::state::write_queue::RecordKey;
 use copperhaven_recovery::{Machine, Zone};
 use copperhaven_wire::jobs::validate;
 use std::collections::BTreeMap;
@@ -35,7 +35,17 @@
 /// Puts together what an earlier leader has left. `now` is this leader's steady clock, `wall_ms` the
 /// time of day, both in milliseconds. What can't be read or used is set aside (`state::aside`).
 pub fn rebuild(cell: &mut LeaderState, read: Records, now: u64, wall_ms: u64) {
-    let Records { jobs, done, machines, packs, rentals, dependency_lists: links, service, packs_enabled: packed, unreadable: bad } = read;
+    let Records {
+        jobs,
+        done,
+        machines,
+        packs,
+        rentals,
+        dependency_lists: links,
+        service,
+        packs_enabled: packed,
+        unreadable: bad,
+    } = read;
     set_aside(cell, bad);
     cell.restore_fairness(service, now);
     let links = read_links(cell, links);
@@ -131,7 +141,10 @@
 }
 
 /// The parts of long lists of what jobs wait for, by path.
-fn read_links(cell: &mut LeaderState, links: Rows<DependenciesRecord>) -> BTreeMap<String, Vec<String>> {
+fn read_links(
+    cell: &mut LeaderState,
+    links: Rows<DependenciesRecord>,
+) -> BTreeMap<String, Vec<String>> {
     let mut out = BTreeMap::new();
     for (path, record, stamp) in links {
         cell.write_queue.set_path_revision(path.clone(), Some(stamp));
@@ -189,7 +202,7 @@
                 job.cancel_ver = Some(0);
                 job.waiting.clear();
                 cell.queue.remove(&(at, id));
-                cell.fairness_ledger.remove_job(served::fairness_job(id));
+                cell.fairness_ledger.remove_job(fairness_accounting::fairness_job(id));
             } else if let Some(since) = record.eligible_at_ms {
                 // It has waited for others.
                 let since = since.min(wall_ms + MAX_TIME_MS as u64);
@@ -224,7 +237,8 @@
     let unused = |path: &&String| {
         let uid = path.strip_prefix("a/").and_then(|p| p.split('/').next());
         uid.is_some_and(|uid| {
-            let known = cell.unreadable.job_reason(uid).is_some() || cell.unreadable.is_write_protected(path);
+            let known = cell.unreadable.job_reason(uid).is_some()
+                || cell.unreadable.is_write_protected(path);
             !known && cell.job(uid).is_none_or(|(_, j)| j.dependency_parts == 0)
         })
     };
@@ -270,7 +284,8 @@
         // A pack is written anew as a whole. One that lists what can't be used is left as it is, and those in it that
         // can be used go elsewhere with their next change. One that another lists too is its shadow there, or here.
         let usable = |r: &MachineRecord| {
-            cell.names.types.get(&r.machine_type).is_some() && cell.names.zones.get(&r.zone).is_some()
+            cell.names.types.get(&r.machine_type).is_some()
+                && cell.names.zones.get(&r.zone).is_some()
         };
         let fit = record.machines.values().all(usable);
         let pack = number.filter(|_| fit);
@@ -298,9 +313,15 @@
     let (addr, shift) = (r.addr.clone(), r.session);
     if known.is_none() {
         // Fences the old leader: a worker that has seen this term drops its responses.
-        cell.direct_requests.push(DirectRequest { machine: None, addr, session: shift, orders: vec![] });
+        cell.direct_requests.push(DirectRequest {
+            machine: None,
+            addr,
+            session: shift,
+            orders: vec![],
+        });
     }
-    let (Some(kind), Some(zone)) = (cell.names.types.get(&r.machine_type), cell.names.zones.get(&r.zone))
+    let (Some(kind), Some(zone)) =
+        (cell.names.types.get(&r.machine_type), cell.names.zones.get(&r.zone))
     else {
         let (berth, yard) = (&r.machine_type, &r.zone);
         tracing::error!("the record {path} can't be used: type `{berth}`, zone `{yard}`");
--- a/crates/core/src/takeover/tests.rs
+++ b/crates/core/src/takeover/tests.rs
@@ -18,10 +18,23 @@
 }
 
 fn machine(name: &str, berth: &str, on: &[(&str, u64, u32)]) -> (String, MachineRecord, u64) {
-    let on =
-        on.iter().map(|(j, t, n)| AssignmentRecord { job: (*j).into(), attempt: *t, task_ranges: vec![*n, 1] }).collect();
+    let on = on
+        .iter()
+        .map(|(j, t, n)| AssignmentRecord {
+            job: (*j).into(),
+            attempt: *t,
+            task_ranges: vec![*n, 1],
+        })
+        .collect();
     let (addr, yard) = ("127.0.0.1:9".into(), "north".into());
-    let r = MachineRecord { addr, machine_type: berth.into(), zone: yard, spot: false, session: 1, assignments: on };
+    let r = MachineRecord {
+        addr,
+        machine_type: berth.into(),
+        zone: yard,
+        spot: false,
+        session: 1,
+        assignments: on,
+    };
     (format!("m/{name}"), r, 3)
 }
 
@@ -76,7 +89,10 @@
         };
         let done = vec![("d/wk-1/0".to_string(), DoneTasksRecord { task_ranges: vec![0, 1] }, 4)];
         let mut c = taken_over(Records { jobs, done, unreadable: list, ..Records::default() });
-        assert!(c.unreadable.job_reason("wk-1").is_some() && c.unreadable.job_reason("wk-2").is_none(), "{case}");
+        assert!(
+            c.unreadable.job_reason("wk-1").is_some() && c.unreadable.job_reason("wk-2").is_none(),
+            "{case}"
+        );
         assert!(c.job_status("wk-1").is_none() && c.job_status("wk-2").is_some(), "{case}");
         let runs = exchange_report(&mut c, &other(1, &[]), START_MS + 100);
         assert_eq!(started(&runs), ["wk-2/0"], "{case}: what it does not touch goes on");
@@ -93,7 +109,8 @@
     jobs.push(job("wk-3", |b| (b.team, b.cpus, b.tasks) = ("blue".into(), 4.0, 8)));
     let machines =
         vec![machine("n-1", "big", &[("wk-1", 5, 0), ("wk-2", 6, 0)]), machine("n-2", "big", &[])];
-    let mut c = taken_over(Records { jobs, machines, unreadable: bad("j/wk-1"), ..Records::default() });
+    let mut c =
+        taken_over(Records { jobs, machines, unreadable: bad("j/wk-1"), ..Records::default() });
     // 32 of its CPUs, 4 of them of wk-2: whose the other 28 are, nobody knows.
     assert_eq!(c.unknown_usage().cpus, 28.0);
     let listed = [("wk-1/0", 5, "running"), ("wk-2/0", 6, "running")];
@@ -113,7 +130,9 @@
     c.mark_dirty(RecordKey::Machine(c.machines.id_of("n-1").expect("known")));
     let listing = |c: &mut LeaderState| {
         commit(c).into_iter().rev().find_map(|x| match x {
-            Change::Put { path: put, value: Record::Machine(m), .. } if put == "m/n-1" => Some(m.assignments),
+            Change::Put { path: put, value: Record::Machine(m), .. } if put == "m/n-1" => {
+                Some(m.assignments)
+            }
             _ => None,
         })
     };
@@ -192,11 +211,18 @@
     let mut c = taken_over(Records { jobs, machines, ..Records::default() });
     assert_eq!(c.direct_requests.len(), 1, "it is sent the new term all the same");
     assert_eq!(started(&exchange_report(&mut c, &other(1, &[]), START_MS + 100)), ["wk-2/0"]);
-    let r = Report { machine_type: "retired".into(), ..report(1, 1, TERM, &[("wk-1/0", 5, "running")]) };
-    assert!(matches!(c.on_report(&r, START_MS + 200), crate::workers::reports::ReportOutcome::Malformed(_)));
+    let r = Report {
+        machine_type: "retired".into(),
+        ..report(1, 1, TERM, &[("wk-1/0", 5, "running")])
+    };
+    assert!(matches!(
+        c.on_report(&r, START_MS + 200),
+        crate::workers::reports::ReportOutcome::Malformed(_)
+    ));
     let bound = c.settings.renewal_grace_ms() + c.settings.max_worker_lease_ms();
     c.expire_leases(START_MS + bound + 100);
-    let orders = exchange_report(&mut c, &other(2, &[("wk-2/0", 7, "running")]), START_MS + bound + 200);
+    let orders =
+        exchange_report(&mut c, &other(2, &[("wk-2/0", 7, "running")]), START_MS + bound + 200);
     assert_eq!(started(&orders), ["wk-1/0"]);
 }
 
@@ -207,7 +233,8 @@
         let jobs = vec![job("wk-1", |b| b.tasks = 2)];
         let mut c = taken_over(Records { jobs, unreadable: bad(path), ..Records::default() });
         assert_eq!(started(&exchange_report(&mut c, &other(1, &[]), START_MS)).len(), 2, "{path}");
-        let attempt = c.machines.values().flat_map(|m| m.assignments.values()).next().expect("there");
+        let attempt =
+            c.machines.values().flat_map(|m| m.assignments.values()).next().expect("there");
         let attempt = attempt.attempt;
         c.on_report(
             &other(2, &[("wk-1/0", attempt, "ended:done"), ("wk-1/1", attempt, "running")]),
@@ -228,7 +255,8 @@
         let (path, mut record, stamp) = job(uid, |_| ());
         let on = on.iter().map(ToString::to_string).collect();
         record.job.machine_types = Some(vec![]);
-        record.dependency_wait = Some(DependencyWait { dependencies: on, machine_types: None, parts });
+        record.dependency_wait =
+            Some(DependencyWait { dependencies: on, machine_types: None, parts });
         (path, record, stamp)
     };
     let jobs = vec![
@@ -238,11 +266,16 @@
         waits("wk-4", &["wk-3"], 0),
         waits("wk-5", &["wk-1"], 0),
     ];
-    let links = vec![("a/wk-2/0".to_string(), DependenciesRecord { dependencies: vec!["wk-1".into()] }, 4)];
+    let links =
+        vec![("a/wk-2/0".to_string(), DependenciesRecord { dependencies: vec!["wk-1".into()] }, 4)];
     // The second part can't be read, or is not there at all.
     for list in [bad("a/wk-2/1"), vec![]] {
-        let read =
-            Records { jobs: jobs.clone(), dependency_lists: links.clone(), unreadable: list, ..Records::default() };
+        let read = Records {
+            jobs: jobs.clone(),
+            dependency_lists: links.clone(),
+            unreadable: list,
+            ..Records::default()
+        };
         let mut c = taken_over(read);
         while let Some(uid) = c.dependencies.next_unread_outcomes(1).first().cloned() {
             c.dependencies.resolve_outcome(&uid, None);
@@ -306,7 +339,8 @@
     let red = c.names.teams.get("red").expect("known");
     assert_eq!(c.team_usage.usage(red).cpus, 4.0);
     // It is there: it is halted, and goes on counting.
-    let orders = exchange_report(&mut c, &report(1, 1, TERM, &[("wk-1/0", 5, "running")]), START_MS + 10);
+    let orders =
+        exchange_report(&mut c, &report(1, 1, TERM, &[("wk-1/0", 5, "running")]), START_MS + 10);
     assert!(halted(&orders, "wk-1/0"));
     assert_eq!(c.team_usage.usage(red).cpus, 4.0);
     // It is gone: its place is free for the other task, and it is not started again.
--- a/crates/core/src/workers/ends.rs
+++ b/crates/core/src/workers/completion.rs
@@ -1,11 +1,11 @@
 //! Tasks that are done, and jobs that are cancelled.
 
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::DONE_CHUNK_TASKS;
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::Machine;
 use crate::state::names::*;
-use crate::state::served;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::JobKind;
 
 impl LeaderState {
@@ -21,7 +21,10 @@
             job.waiting.clear();
             let at = job.eligible_at_ms;
             self.queue.remove(&(at, id));
-            self.fairness_ledger.job_cancelled(served::fairness_job(id), served::fairness_pair(&job.spec));
+            self.fairness_ledger.job_cancelled(
+                fairness_accounting::fairness_job(id),
+                fairness_accounting::fairness_pair(&job.spec),
+            );
             self.dependencies.queue_reviews(job);
         }
         self.stop_all_tasks(id, now, 0.0);
--- a/crates/core/src/workers/faults.rs
+++ b/crates/core/src/workers/faults.rs
@@ -1,7 +1,7 @@
 //! Faulty and slow machines, and jobs that fail wherever they start.
 
-use crate::state::cell::LeaderState;
 use crate::state::job::{Job, WaitReason};
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::ObservedState;
 use crate::state::names::*;
 
@@ -45,7 +45,9 @@
         let long = 2 * job.longest_failure.max(report) + 2000;
         self.machines.values().any(|m| {
             m.assignments.range((id, 0)..=(id, u32::MAX)).any(|(_, e)| {
-                e.observed == ObservedState::Running && e.running_since > 0 && now > e.running_since + long
+                e.observed == ObservedState::Running
+                    && e.running_since > 0
+                    && now > e.running_since + long
             })
         })
     }
@@ -95,11 +97,16 @@
         const SLOW: f64 = 2.5;
         const LONG: f64 = 1.5;
         let mut found = vec![];
-        for (mid, m) in self.machines.iter().filter(|(_, m)| m.is_usable(now, self.report_timeout_ms())) {
+        for (mid, m) in
+            self.machines.iter().filter(|(_, m)| m.is_usable(now, self.report_timeout_ms()))
+        {
             let (mut over, mut judged) = (0, 0);
             for ((id, _), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
-                if e.observed != ObservedState::Running || e.running_since == 0 || job.run_stats.0 < 4 {
+                if e.observed != ObservedState::Running
+                    || e.running_since == 0
+                    || job.run_stats.0 < 4
+                {
                     continue;
                 }
                 judged += 1;
--- a/crates/core/src/workers/leases.rs
+++ b/crates/core/src/workers/leases.rs
@@ -1,8 +1,8 @@
 //! Workers' leases, and machines that are gone.
 
-use crate::state::cell::LeaderState;
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
+use crate::state::write_queue::RecordKey;
 use copperhaven_recovery::Machine;
 
 impl LeaderState {
--- a/crates/core/src/workers/mod.rs
+++ b/crates/core/src/workers/mod.rs
@@ -6,12 +6,12 @@
 //! dropped whatever the earlier response said. Bodies of `/commands` prove nothing: they may be
 //! written between a report and its response.
 
-pub mod deaf;
-pub mod ends;
+pub mod completion;
 pub mod faults;
 pub mod leases;
-pub mod nudges;
 pub mod orders;
+pub mod reconciliation;
+pub mod report_requests;
 pub mod reports;
-pub mod squaring;
 pub mod stops;
+pub mod unresponsive;
--- a/crates/core/src/workers/orders.rs
+++ b/crates/core/src/workers/orders.rs
@@ -1,9 +1,9 @@
 //! The orders that go with the response to a report.
 
-use crate::state::cell::LeaderState;
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::ObservedState;
 use crate::state::names::*;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::JobKind;
 use copperhaven_wire::workers::{Order, Orders};
 
@@ -13,7 +13,9 @@
     pub fn can_send_orders(&self, mid: MachineId) -> bool {
         let Some(m) = self.machines.get(&mid) else { return true };
         let key = RecordKey::Machine(mid);
-        m.assignments.values().all(|e| e.run_sent_with.is_some() || e.unconfirmed || self.is_saved(&key, e.ver))
+        m.assignments
+            .values()
+            .all(|e| e.run_sent_with.is_some() || e.unconfirmed || self.is_saved(&key, e.ver))
     }
 
     pub(crate) fn finished(&self, id: JobId, task: u32) -> bool {
@@ -32,7 +34,11 @@
         lead: bool,
     ) -> Option<Orders> {
         const MOST: usize = 300;
-        let sign = if self.machines.get(&mid)?.last_report == at { self.delivery_probe(mid) } else { None };
+        let sign = if self.machines.get(&mid)?.last_report == at {
+            self.delivery_probe(mid)
+        } else {
+            None
+        };
         let key = RecordKey::Machine(mid);
         let m = self.machines.get(&mid)?;
         if m.last_report != at {
@@ -40,8 +46,9 @@
         }
         let mut orders = Vec::new();
         for x in &m.ended_tasks {
-            let aside =
-                |p: &str| p.split('/').next().is_some_and(|uid| self.unreadable.job_reason(uid).is_some());
+            let aside = |p: &str| {
+                p.split('/').next().is_some_and(|uid| self.unreadable.job_reason(uid).is_some())
+            };
             // What a job that is set aside has done is kept until its record is mended.
             if !x.done || x.id.map_or(!aside(&x.task_id), |id| self.finished(id, x.task)) {
                 orders.push(Order::Forget { task_id: x.task_id.clone(), attempt: x.attempt });
@@ -61,7 +68,8 @@
             let parcel = self.task_id(*id, *task);
             if let Some((_, grace)) = e.stop_requested {
                 orders.push(Order::Halt { task_id: parcel, attempt: e.attempt, grace_s: grace });
-            } else if e.observed == ObservedState::NotReported && !e.unconfirmed && lead && m.fenced {
+            } else if e.observed == ObservedState::NotReported && !e.unconfirmed && lead && m.fenced
+            {
                 let open = self.jobs.get(id).is_some_and(|j| j.is_open());
                 let session = e.run_sent_with.is_none_or(|m| m.0 == at.0);
                 if open && session && self.is_saved(&key, e.ver) {
--- a/crates/core/src/workers/squaring.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -1,11 +1,13 @@
 //! The first report of this term from a machine, held against what is on record of it: counted by what was met
 //! (`copperhaven_recovery::square`). What follows is done where reports are taken in.
 
-use crate::state::cell::LeaderState;
+use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 use crate::workers::reports::parse_task_id;
 use copperhaven_recovery::Machine;
-use copperhaven_recovery::square::{TaskComparison, ReportedTask, ReconcileOutcome, ReportedState, reconcile};
+use copperhaven_recovery::reconcile::{
+    ReconcileOutcome, ReportedState, ReportedTask, TaskComparison, reconcile,
+};
 use copperhaven_wire::workers::Report;
 use std::collections::BTreeMap;
 
@@ -20,7 +22,12 @@
         for ((id, task), e) in &m.assignments {
             let Some(job) = self.jobs.get(id) else { continue };
             let (open, done) = (job.is_open(), job.done.contains(*task));
-            let pair = TaskComparison { recorded: Some(e.attempt), reported: None, job_open: open, recorded_done: done };
+            let pair = TaskComparison {
+                recorded: Some(e.attempt),
+                reported: None,
+                job_open: open,
+                recorded_done: done,
+            };
             tasks.insert((Some(*id), "", *task), pair);
         }
         for p in &r.tasks {
@@ -35,7 +42,12 @@
             let open = known.is_some_and(|(_, job)| job.is_open());
             let done = known.is_some_and(|(_, job)| job.done.contains(task));
             let key = (known.map(|(id, _)| id), if known.is_none() { uid } else { "" }, task);
-            let none = TaskComparison { recorded: None, reported: None, job_open: open, recorded_done: done };
+            let none = TaskComparison {
+                recorded: None,
+                reported: None,
+                job_open: open,
+                recorded_done: done,
+            };
             tasks.entry(key).or_insert(none).reported = reported;
         }
         for row in tasks.into_values().filter_map(reconcile) {
