--- a/crates/core/src/workers/nudges.rs
+++ b/crates/core/src/workers/report_requests.rs
@@ -4,10 +4,10 @@
 //! carries the starts. Late or repeated a nudge starts nothing, whatever became of it: unlike a start that is sent
 //! directly, which may be carried out minutes later and would keep its task from being counted as absent until then.
 
-use crate::state::cell::LeaderState;
-use crate::state::ledger::RecordKey;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::{DirectRequest, Machine, ObservedState};
 use crate::state::names::MachineId;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::workers::Order;
 
 /// No job can have this id.
@@ -35,19 +35,29 @@
             m.last_requested_report = m.last_report;
             let orders = vec![report_request_order(attempt)];
             let (addr, shift) = (m.addr.clone(), m.last_report.0);
-            self.direct_requests.push(DirectRequest { machine: Some(*mid), addr, session: shift, orders });
+            self.direct_requests.push(DirectRequest {
+                machine: Some(*mid),
+                addr,
+                session: shift,
+                orders,
+            });
         }
     }
 
     /// Has it recorded starts to be told, and no report that waits for its answer? Once for each report.
     fn wants_nudge(&self, mid: MachineId) -> bool {
-        self.machines.get(&mid).is_some_and(|m| m.last_requested_report != m.last_report && self.waits_for_report(mid, m))
+        self.machines.get(&mid).is_some_and(|m| {
+            m.last_requested_report != m.last_report && self.waits_for_report(mid, m)
+        })
     }
 
     fn waits_for_report(&self, mid: MachineId, m: &Machine) -> bool {
         let key = RecordKey::Machine(mid);
         let unsent = |e: &crate::state::machine::Assignment| {
-            e.run_sent_with.is_none() && e.observed == ObservedState::NotReported && !e.unconfirmed && e.stop_requested.is_none()
+            e.run_sent_with.is_none()
+                && e.observed == ObservedState::NotReported
+                && !e.unconfirmed
+                && e.stop_requested.is_none()
         };
         m.fenced
             && !m.response_tracker.is_unresponsive()
@@ -111,7 +121,10 @@
         let (mut c, mid) = hurried();
         c.on_report(&report(1, 2, TERM, &[]), START_MS + 90);
         assert_eq!(place_one(&mut c), 0);
-        assert_eq!(c.issue_orders(mid, (1, 2), START_MS + 200, true).expect("orders").orders.len(), 1);
+        assert_eq!(
+            c.issue_orders(mid, (1, 2), START_MS + 200, true).expect("orders").orders.len(),
+            1
+        );
         // One that has not shown this term is not started on.
         let (mut c, mid) = hurried();
         c.machines.get_mut(&mid).expect("there").fenced = false;
@@ -133,7 +146,10 @@
             let runs = orders.iter().filter(|o| matches!(o, Order::Run { .. })).count();
             assert_eq!(runs, usize::from(tally == 2), "{orders:?}");
         }
-        assert_eq!((c.machines[&mid].machine_failures, c.final_records.contains("wk-1")), (0, true));
+        assert_eq!(
+            (c.machines[&mid].machine_failures, c.final_records.contains("wk-1")),
+            (0, true)
+        );
     }
 
     #[test]
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -1,14 +1,14 @@
 //! Reports: what they prove and what follows.
 
 use crate::records::{AssignmentRecord, to_ranges};
-use crate::state::cell::LeaderState;
+use crate::state::fairness_accounting;
 use crate::state::job::WaitReason;
-use crate::state::ledger::RecordKey;
-use crate::state::machine::{EndedTask, Assignment, RESERVATION_MS, ObservedState};
+use crate::state::leader_state::LeaderState;
+use crate::state::machine::{Assignment, EndedTask, ObservedState, RESERVATION_MS};
 use crate::state::names::*;
-use crate::state::served;
+use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::JobKind;
-use copperhaven_wire::workers::{TaskReport, Report};
+use copperhaven_wire::workers::{Report, TaskReport};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a report came to.
@@ -82,7 +82,8 @@
         if first {
             self.reconcile_first_report(mid, r, now);
         }
-        let hidden = self.unreadable.has_machine(&r.machine) || self.unreadable.has_unreadable_pack();
+        let hidden =
+            self.unreadable.has_machine(&r.machine) || self.unreadable.has_unreadable_pack();
         let Some(m) = self.machines.get_mut(&mid) else { return ReportOutcome::Stale };
         m.ended_tasks.clear();
         m.orphan_tasks.clear();
@@ -93,8 +94,13 @@
             let known = self.jobs.id_of(uid);
             if p.status == "ended" {
                 let done = p.cause.as_deref() == Some("done");
-                let ended =
-                    EndedTask { id: known, task, task_id: p.task_id.clone(), attempt: p.attempt, done };
+                let ended = EndedTask {
+                    id: known,
+                    task,
+                    task_id: p.task_id.clone(),
+                    attempt: p.attempt,
+                    done,
+                };
                 if let Some(id) = known {
                     let entry = self.machines[&mid].assignments.get(&(id, task));
                     if entry.is_some_and(|e| e.attempt == p.attempt) {
@@ -149,7 +155,8 @@
                 .filter(|(k, e)| {
                     let spoken = e.unconfirmed || e.observed != ObservedState::NotReported;
                     let other_session = e.run_sent_with.is_some_and(|m| m.0 != r.session);
-                    !listed.contains(k) && (spoken || other_session || deaf || e.stop_requested.is_some())
+                    !listed.contains(k)
+                        && (spoken || other_session || deaf || e.stop_requested.is_some())
                 })
                 .filter(|(_, e)| e.run_sent_with.is_none_or(|m| m < at))
                 .map(|(k, _)| *k)
@@ -187,7 +194,8 @@
             // Listed though nobody recorded it: it counts, and it goes.
             let mut e = Assignment::new(attempt, 0, now);
             e.stop_requested = Some((now, 0.0));
-            e.observed = if seen == ObservedState::Running { ObservedState::Checkpointing } else { seen };
+            e.observed =
+                if seen == ObservedState::Running { ObservedState::Checkpointing } else { seen };
             let name = m.name.clone();
             tracing::warn!("{name} runs {} without a record", self.task_id(id, task));
             self.attach(mid, id, task, e);
@@ -208,7 +216,8 @@
                 job.running += 1;
                 job.gang_started = true;
                 job.wait_reason = WaitReason::Nothing;
-                self.fairness_ledger.tasks_started(served::fairness_pair(&job.spec), 1);
+                self.fairness_ledger
+                    .tasks_started(fairness_accounting::fairness_pair(&job.spec), 1);
                 // When a task started is not known if an earlier leader had it started. One whose
                 // image is there starts right away: the report before did not list it yet.
                 e.running_since = if taken_over { 0 } else { now };
@@ -229,8 +238,11 @@
     /// and goes on, if nothing speaks against it.
     fn adopt(&mut self, mid: MachineId, id: JobId, task: u32, attempt: u64, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let free = job.is_open() && job.pending_dependencies.is_empty() && job.waiting.contains(task);
-        let mates = job.spec.kind != JobKind::Gang || job.placement_counts.is_empty() || job.gang_attempt == attempt;
+        let free =
+            job.is_open() && job.pending_dependencies.is_empty() && job.waiting.contains(task);
+        let mates = job.spec.kind != JobKind::Gang
+            || job.placement_counts.is_empty()
+            || job.gang_attempt == attempt;
         if !free || !mates {
             return;
         }
@@ -246,7 +258,11 @@
         let Some(m) = self.machines.get_mut(&mid) else { return };
         let foreign: Vec<AssignmentRecord> = foreign
             .into_iter()
-            .map(|((j, t), tasks)| AssignmentRecord { job: j.into(), attempt: t, task_ranges: to_ranges(tasks) })
+            .map(|((j, t), tasks)| AssignmentRecord {
+                job: j.into(),
+                attempt: t,
+                task_ranges: to_ranges(tasks),
+            })
             .collect();
         let name = m.name.clone();
         if m.unreadable_job_tasks != foreign {
@@ -271,7 +287,8 @@
                     let s = now.saturating_sub(entry.running_since) as f64 / 1000.0;
                     let pool = self.pool_index(zone, kind);
                     self.run_times.record_run(pool, spec.class, s);
-                    self.fairness_ledger.task_completed(served::fairness_pair(&spec), s * spec.cpus);
+                    self.fairness_ledger
+                        .task_completed(fairness_accounting::fairness_pair(&spec), s * spec.cpus);
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.run_stats.0 += 1;
                         job.run_stats.1 += s;
@@ -326,16 +343,20 @@
     /// Is a gang that has not started still fetching its image somewhere, and not for far too
     /// long?
     fn mates_fetch(&self, id: JobId, now: u64) -> bool {
-        let Some(job) = self.jobs.get(&id).filter(|j| !j.gang_started && j.is_open()) else { return false };
+        let Some(job) = self.jobs.get(&id).filter(|j| !j.gang_started && j.is_open()) else {
+            return false;
+        };
         let mut fetching = false;
         for m in self.machines.values() {
-            let fetch = job.spec.image_gb / self.machine_types[m.machine_type.index()].fetch_gb_per_s;
+            let fetch =
+                job.spec.image_gb / self.machine_types[m.machine_type.index()].fetch_gb_per_s;
             let most = 60_000 + (fetch.min(3600.0) * 4000.0) as u64;
             for (_, e) in m.assignments.range((id, 0)..=(id, u32::MAX)) {
                 if e.stop_requested.is_some() || e.unconfirmed {
                     return false;
                 }
-                let on_way = matches!(e.observed, ObservedState::NotReported | ObservedState::Pulling);
+                let on_way =
+                    matches!(e.observed, ObservedState::NotReported | ObservedState::Pulling);
                 fetching |= on_way && now < e.assigned_at + most;
             }
         }
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -1,6 +1,6 @@
 //! Stopping tasks, and tasks that are gone without being done.
 
-use crate::state::cell::LeaderState;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::{DirectRequest, ObservedState};
 use crate::state::names::*;
 use copperhaven_wire::jobs::JobKind;
@@ -36,7 +36,12 @@
             Some(d) => d.orders.push(order),
             None => {
                 let machine = Some(mid);
-                self.direct_requests.push(DirectRequest { machine, addr, session: shift, orders: vec![order] });
+                self.direct_requests.push(DirectRequest {
+                    machine,
+                    addr,
+                    session: shift,
+                    orders: vec![order],
+                });
             }
         }
     }
@@ -48,7 +53,9 @@
                 .machines
                 .iter()
                 .flat_map(|(mid, m)| {
-                    m.assignments.range((id, 0)..=(id, u32::MAX)).map(|((_, task), _)| (*mid, *task))
+                    m.assignments
+                        .range((id, 0)..=(id, u32::MAX))
+                        .map(|((_, task), _)| (*mid, *task))
                 })
                 .collect(),
             _ => return,
@@ -90,12 +97,16 @@
                 continue;
             }
             let save = job.spec.checkpoint_save_s;
-            let can_save =
-                job.spec.checkpoint_interval_s > 0.0 && e.observed == ObservedState::Running && (!faulty || m.slow);
+            let can_save = job.spec.checkpoint_interval_s > 0.0
+                && e.observed == ObservedState::Running
+                && (!faulty || m.slow);
             // Without a checkpoint to win, a task may as well run on until the machine goes, in
             // case it finishes first. Save as late as is safe.
             let wait = gone_soon && (!can_save || left > save + 5.0);
-            if wait && e.observed != ObservedState::NotReported && e.observed != ObservedState::Pulling {
+            if wait
+                && e.observed != ObservedState::NotReported
+                && e.observed != ObservedState::Pulling
+            {
                 continue;
             }
             if job.spec.kind == JobKind::Gang {
--- a/crates/core/src/workers/deaf.rs
+++ b/crates/core/src/workers/unresponsive.rs
@@ -6,10 +6,10 @@
 //! Nothing that the rules need rests on it: what may be on such a machine counts until a report or its lease proves that
 //! it is gone, as ever.
 
-use crate::state::cell::LeaderState;
+use crate::state::leader_state::LeaderState;
 use crate::state::machine::Machine;
 use crate::state::names::MachineId;
-use crate::workers::nudges::report_request_order;
+use crate::workers::report_requests::report_request_order;
 use copperhaven_wire::workers::{Order, Report};
 
 /// One of fifty machines at a time is given back for it, and one at least.
@@ -42,9 +42,15 @@
     pub(crate) fn unresponsive_machines_to_return(&self, now: u64) -> Vec<MachineId> {
         let most = (self.machines.len() / PART).max(1);
         let long = |m: &Machine| {
-            m.response_tracker.unresponsive_since().is_some_and(|since| now > since + 2 * self.settings.max_worker_lease_ms())
+            m.response_tracker
+                .unresponsive_since()
+                .is_some_and(|since| now > since + 2 * self.settings.max_worker_lease_ms())
         };
-        let leaving = self.machines.values().filter(|m| m.leaving && m.response_tracker.is_unresponsive()).count();
+        let leaving = self
+            .machines
+            .values()
+            .filter(|m| m.leaving && m.response_tracker.is_unresponsive())
+            .count();
         self.machines
             .iter()
             .filter(|(_, m)| !m.leaving && m.assignments.is_empty() && long(m))
@@ -58,7 +64,7 @@
 mod tests {
     use super::*;
     use crate::for_tests::*;
-    use crate::state::hearing::ResponseTracker;
+    use crate::state::response_tracker::ResponseTracker;
 
     /// What a worker reports that carries out the answers or doesn't, and is one of `count` machines. Returns the cell
     /// after so many reports, each answered, and in how many answers tasks were sent.
@@ -70,7 +76,8 @@
         for n in 1..=count {
             let parcels: Vec<(&str, u64, &str)> =
                 listed.iter().map(|(p, a)| (p.as_str(), *a, "running")).collect();
-            let orders = exchange_report(&mut c, &report(1, n, TERM, &parcels), START_MS + n * 5_000);
+            let orders =
+                exchange_report(&mut c, &report(1, n, TERM, &parcels), START_MS + n * 5_000);
             let runs = |o: &Order| match o {
                 Order::Run { task_id: parcel, attempt } => Some((parcel.clone(), *attempt)),
                 _ => None,
@@ -101,7 +108,11 @@
         for (what, hears, count, deaf, sent) in rows {
             let (c, n) = reports(hears, count);
             let mid = c.machines.id_of("n-1").expect("there");
-            assert_eq!((c.machines[&mid].response_tracker.is_unresponsive(), n), (deaf, sent), "{what}");
+            assert_eq!(
+                (c.machines[&mid].response_tracker.is_unresponsive(), n),
+                (deaf, sent),
+                "{what}"
+            );
             c.check_invariants();
         }
     }
@@ -114,11 +125,15 @@
             exchange_report(&mut c, &r(1), START_MS);
             if n % 2 == 0 {
                 let mid = c.machines.id_of(format!("n-{n}").as_str()).expect("there");
-                c.machines.get_mut(&mid).expect("there").response_tracker = ResponseTracker::new_unresponsive(START_MS);
+                c.machines.get_mut(&mid).expect("there").response_tracker =
+                    ResponseTracker::new_unresponsive(START_MS);
             }
         }
         let lease = c.settings.max_worker_lease_ms();
-        assert!(c.unresponsive_machines_to_return(START_MS + lease).is_empty(), "it may hear again");
+        assert!(
+            c.unresponsive_machines_to_return(START_MS + lease).is_empty(),
+            "it may hear again"
+        );
         assert_eq!(c.unresponsive_machines_to_return(START_MS + 2 * lease + 1).len(), 4);
         c.machines
             .values_mut()
--- a/crates/core/tests/failures/leaders.rs
+++ b/crates/core/tests/failures/leaders.rs
@@ -3,7 +3,7 @@
 use crate::world::*;
 use copperhaven_core::records::{Change, Condition, Record};
 use copperhaven_core::settings::NextLimits;
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::names::Names;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::ReportOutcome;
@@ -123,7 +123,8 @@
             let lead = self.lead(&self.leaders[k]);
             let l = &mut self.leaders[k];
             l.cell.expire_leases(now);
-            self.deaf += l.cell.machines.values().filter(|m| m.response_tracker.is_unresponsive()).count();
+            self.deaf +=
+                l.cell.machines.values().filter(|m| m.response_tracker.is_unresponsive()).count();
             l.cell.migrate_machines_to_packs(1);
             l.cell.placement_pending = true;
             if lead {
--- a/crates/core/tests/failures/users.rs
+++ b/crates/core/tests/failures/users.rs
@@ -1,11 +1,11 @@
 //! Users who submit, ask and cancel.
 
 use crate::world::*;
-use copperhaven_core::admission::shape::resolve_spec;
+use copperhaven_core::admission::feasibility::resolve_spec;
 use copperhaven_core::for_tests::body;
-use copperhaven_core::pipelines::awaits::{DependencyCheck, DependencyState};
+use copperhaven_core::pipelines::submission::{DependencyCheck, DependencyState};
 use copperhaven_core::records::Record;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use rand::Rng;
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/core/tests/failures/workers.rs
+++ b/crates/core/tests/failures/workers.rs
@@ -3,7 +3,7 @@
 use crate::world::*;
 use copperhaven_core::records::Record;
 use copperhaven_wire::jobs::JobKind;
-use copperhaven_wire::workers::{Order, TaskReport, Report};
+use copperhaven_wire::workers::{Order, Report, TaskReport};
 use rand::Rng;
 
 impl World {
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -3,10 +3,10 @@
 use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, sample_settings_with};
 use copperhaven_core::records::{Change, Condition, Record};
 use copperhaven_core::settings::Settings;
-use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::MachineType;
-use copperhaven_core::state::ledger::Batch;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::names::Names;
+use copperhaven_core::state::write_queue::Batch;
 use copperhaven_wire::jobs::JobBody;
 use copperhaven_wire::workers::{Order, Report};
 use rand::rngs::StdRng;
@@ -141,7 +141,8 @@
 
 impl World {
     pub fn new(seed: u64) -> World {
-        let mut settings = sample_settings_with(&[(TEAMS_LINE, OWN_TEAMS), ZONES, (OBJECTIVES_LINE, "")]);
+        let mut settings =
+            sample_settings_with(&[(TEAMS_LINE, OWN_TEAMS), ZONES, (OBJECTIVES_LINE, "")]);
         // Every other schedule has aims that can't be met: teams and classes are in need, and the order
         // of service changes with what was served.
         if seed.is_multiple_of(2) {
--- a/crates/core/tests/packs.rs
+++ b/crates/core/tests/packs.rs
@@ -1,10 +1,12 @@
 //! Lists of machines in packs: on which records each step rests, as tables. What runs while they move is played by
 //! the random schedules.
 
-use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, exchange_report, job_record, report};
-use copperhaven_core::records::{Change, AssignmentRecord, PackRecord, Record};
-use copperhaven_core::state::cell::LeaderState;
-use copperhaven_core::state::ledger::RecordKey;
+use copperhaven_core::for_tests::{
+    START_MS, TERM, add_job, cell, commit, exchange_report, job_record, report,
+};
+use copperhaven_core::records::{AssignmentRecord, Change, PackRecord, Record};
+use copperhaven_core::state::leader_state::LeaderState;
+use copperhaven_core::state::write_queue::RecordKey;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_wire::workers::Report;
 use std::collections::BTreeMap;
@@ -27,9 +29,12 @@
 /// What a transaction does, by path: the machines that a value lists, or that it goes.
 fn told(changes: &[Change]) -> BTreeMap<String, Option<Vec<String>>> {
     let lists = |v: &Record| match v {
-        Record::Pack(p) => {
-            p.machines.iter().filter(|(_, m)| !m.assignments.is_empty()).map(|(n, _)| n.clone()).collect()
-        }
+        Record::Pack(p) => p
+            .machines
+            .iter()
+            .filter(|(_, m)| !m.assignments.is_empty())
+            .map(|(n, _)| n.clone())
+            .collect(),
         Record::Machine(m) if !m.assignments.is_empty() => vec!["itself".into()],
         _ => vec![],
     };
@@ -193,7 +198,14 @@
         let berth = berth.to_string();
         (
             name.to_string(),
-            copperhaven_core::records::MachineRecord { addr, machine_type: berth, zone: yard, spot, session: shift, assignments: on },
+            copperhaven_core::records::MachineRecord {
+                addr,
+                machine_type: berth,
+                zone: yard,
+                spot,
+                session: shift,
+                assignments: on,
+            },
         )
     };
     PackRecord { machines: lists.iter().map(machine).collect() }
@@ -236,8 +248,13 @@
         let mut c = cell();
         let packs = packs.into_iter().map(|(path, r)| (path.to_string(), r, 7)).collect();
         let bad = bad.iter().map(|path| (path.to_string(), 7)).collect();
-        let read =
-            Records { jobs: vec![job("wk-1")], packs, unreadable: bad, packs_enabled: true, ..Records::default() };
+        let read = Records {
+            jobs: vec![job("wk-1")],
+            packs,
+            unreadable: bad,
+            packs_enabled: true,
+            ..Records::default()
+        };
         rebuild(&mut c, read, START_MS, START_MS);
         // Another machine comes and has room: whatever may be elsewhere is not started there.
         let other = |tally| Report {
@@ -256,7 +273,8 @@
             assert!(change.path() != sealed, "{what}: {} is written", change.path());
         }
         // Until nothing can be running there any more.
-        let over = START_MS + c.settings.renewal_grace_ms() + c.settings.max_worker_lease_ms() + 1_000;
+        let over =
+            START_MS + c.settings.renewal_grace_ms() + c.settings.max_worker_lease_ms() + 1_000;
         c.on_report(&other(2), over);
         c.expire_leases(over);
         c.run_placement_pass(over);
@@ -275,7 +293,7 @@
 impl Store {
     fn commit(
         &mut self,
-        batch: &copperhaven_core::state::ledger::Batch,
+        batch: &copperhaven_core::state::write_queue::Batch,
     ) -> Result<u64, Vec<String>> {
         let stamp = |path: &str| self.pairs.get(path).map_or(0, |(_, s)| *s);
         let failed: Vec<String> = batch.conditions[1..]
@@ -304,7 +322,8 @@
     fn lists(&self, name: &str, uid: &str, task: u32) -> bool {
         let on = |m: &copperhaven_core::records::MachineRecord| {
             m.assignments.iter().any(|on| {
-                on.job == uid && copperhaven_core::records::from_ranges(&on.task_ranges).any(|t| t == task)
+                on.job == uid
+                    && copperhaven_core::records::from_ranges(&on.task_ranges).any(|t| t == task)
             })
         };
         self.pairs.iter().any(|(path, (v, _))| match v {
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -1,9 +1,9 @@
 //! Placement passes with their bounds and without come to the same, whatever happens in between.
 
 use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, report};
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::machine::ObservedState;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
 use copperhaven_wire::workers::Report;
 use proptest::prelude::*;
 
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -1,7 +1,7 @@
 //! Copies of one machine's reports, late, repeated and in any order: what counts is the newest, whenever it arrives.
 
 use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, exchange_report, report};
-use copperhaven_core::state::cell::LeaderState;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::workers::{Order, Report};
 use proptest::prelude::*;
@@ -49,9 +49,17 @@
 fn known(c: &LeaderState) -> Known {
     let mid = c.machines.id_of("n-1").expect("there");
     let m = &c.machines[&mid];
-    let on = m.assignments.iter().map(|((_, task), e)| (*task, e.attempt, Some(e.observed))).collect();
+    let on =
+        m.assignments.iter().map(|((_, task), e)| (*task, e.attempt, Some(e.observed))).collect();
     let Some((_, job)) = c.job("wk-1") else { return (on, vec![], 0, 6, m.last_report, 0) };
-    (on, job.waiting.iter().collect(), job.running, job.done.len(), m.last_report, job.placement_counts.len())
+    (
+        on,
+        job.waiting.iter().collect(),
+        job.running,
+        job.done.len(),
+        m.last_report,
+        job.placement_counts.len(),
+    )
 }
 
 proptest! {
--- a/crates/core/tests/takeover_input.rs
+++ b/crates/core/tests/takeover_input.rs
@@ -4,8 +4,8 @@
 use copperhaven_core::for_tests::{START_MS as NOW, TERM, cell};
 use copperhaven_core::records::*;
 use copperhaven_core::takeover::{Records, rebuild};
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
-use copperhaven_wire::workers::{TaskReport, Report};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
+use copperhaven_wire::workers::{Report, TaskReport};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -82,7 +82,11 @@
         let id = uid(rng);
         let own = if rng.random_bool(0.95) { id.clone() } else { uid(rng) };
         let on = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
-        let waits = DependencyWait { dependencies: on, machine_types: None, parts: pick(rng, &[0, 0, 0, 1, 2, 5]) };
+        let waits = DependencyWait {
+            dependencies: on,
+            machine_types: None,
+            parts: pick(rng, &[0, 0, 0, 1, 2, 5]),
+        };
         let record = JobRecord {
             job: body(rng, own),
             accepted_at_ms: number(rng),
@@ -93,17 +97,29 @@
         read.jobs.push((format!("j/{id}"), record, 1));
         if rng.random_bool(0.5) {
             let chunk = pick(rng, &["0", "0/1", "1", "4194303", "4294967295", "x", ""]);
-            read.done.push((format!("d/{id}/{chunk}"), DoneTasksRecord { task_ranges: ranges(rng) }, 2));
+            read.done.push((
+                format!("d/{id}/{chunk}"),
+                DoneTasksRecord { task_ranges: ranges(rng) },
+                2,
+            ));
         }
         if rng.random_bool(0.3) {
             let on = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
             let part = rng.random_range(0..3);
-            read.dependency_lists.push((format!("a/{id}/{part}"), DependenciesRecord { dependencies: on }, 3));
+            read.dependency_lists.push((
+                format!("a/{id}/{part}"),
+                DependenciesRecord { dependencies: on },
+                3,
+            ));
         }
     }
     for n in 0..rng.random_range(0..6) {
         let on = (0..rng.random_range(0..5))
-            .map(|_| AssignmentRecord { job: uid(rng), attempt: number(rng), task_ranges: ranges(rng) })
+            .map(|_| AssignmentRecord {
+                job: uid(rng),
+                attempt: number(rng),
+                task_ranges: ranges(rng),
+            })
             .collect();
         let record = MachineRecord {
             addr: name(rng, &["127.0.0.1:9"]),
@@ -117,8 +133,12 @@
     }
     for n in 0..rng.random_range(0..3) {
         let (berth, yard) = (name(rng, &["small", "big"]), name(rng, &["north", "south"]));
-        let record =
-            RentalRecord { machine_type: berth, zone: yard, spot: false, count: pick(rng, &[0, 3, u32::MAX]) };
+        let record = RentalRecord {
+            machine_type: berth,
+            zone: yard,
+            spot: false,
+            count: pick(rng, &[0, 3, u32::MAX]),
+        };
         read.rentals.push((format!("r/r-1-{n}"), record, 5));
     }
     for _ in 0..rng.random_range(0..4) {
@@ -137,7 +157,11 @@
 fn report(rng: &mut StdRng, term: u64, tally: u64) -> Report {
     let parcels = (0..rng.random_range(0..5))
         .map(|_| TaskReport {
-            task_id: format!("{}/{}", uid(rng), pick(rng, &["0", "3", "4294967295", "-1", "x", ""])),
+            task_id: format!(
+                "{}/{}",
+                uid(rng),
+                pick(rng, &["0", "3", "4294967295", "-1", "x", ""])
+            ),
             attempt: number(rng),
             status: pick(rng, &["pulling", "waiting", "running", "saving", "ended", "?"]).into(),
             cause: pick(rng, &[None, Some("done"), Some("error"), Some("alone"), Some("?")])
@@ -169,7 +193,8 @@
     for step in 1..12u64 {
         let now = NOW + step * rng.random_range(1..9_000);
         let r = report(rng, TERM, step);
-        if let copperhaven_core::workers::reports::ReportOutcome::Answer(mid) = c.on_report(&r, now) {
+        if let copperhaven_core::workers::reports::ReportOutcome::Answer(mid) = c.on_report(&r, now)
+        {
             c.run_placement_pass(now);
             let _ = c.issue_orders(mid, (r.session, r.sequence), now, true);
         }
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -2,19 +2,19 @@
 //! from `fixtures/production.txt`, made by that version's own code; what it would read and write
 //! again of this version's records is told by its structures, restated here.
 
-use copperhaven_core::admission::shape::resolve_spec;
+use copperhaven_core::admission::feasibility::resolve_spec;
 use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, body, sample_settings_with};
 use copperhaven_core::records::*;
-use copperhaven_core::state::cell::LeaderState;
 use copperhaven_core::state::fleet::MachineType;
-use copperhaven_core::state::ledger::RecordKey;
+use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::names::{JobId, Names};
+use copperhaven_core::state::write_queue::RecordKey;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_core::workers::reports::ReportOutcome;
 use copperhaven_wire::cloud::WireMachineType;
 use copperhaven_wire::encode;
-use copperhaven_wire::jobs::{JobBody, Priority, JobKind};
-use copperhaven_wire::workers::{Order, TaskReport, Report};
+use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
+use copperhaven_wire::workers::{Order, Report, TaskReport};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -42,8 +42,11 @@
     let settings = sample_settings_with(&[(TEAMS_LINE, RED), (OBJECTIVES_LINE, ""), NEXT]);
     let mut names = Names::new(&settings);
     let types: MachineTypesRecord = read("c/flavors");
-    let flavors: Vec<MachineType> =
-        types.machine_types.iter().map(|w: &WireMachineType| MachineType::from_wire(w, &mut names)).collect();
+    let flavors: Vec<MachineType> = types
+        .machine_types
+        .iter()
+        .map(|w: &WireMachineType| MachineType::from_wire(w, &mut names))
+        .collect();
     let leader = Condition { path: "c/leader".into(), revision: 50 };
     let mut c = LeaderState::new(Arc::new(settings), TERM, leader, T0, names, flavors);
     c.write_queue.value_limit = value_limit;
@@ -351,7 +354,9 @@
     let ReportOutcome::Answer(_) = c.on_report(&report("n-000231", 5, over), T0 + 900) else {
         panic!("not taken")
     };
-    let orders = |c: &mut LeaderState, at| c.issue_orders(mid, (1, at), T0 + 950, true).expect("orders").orders;
+    let orders = |c: &mut LeaderState, at| {
+        c.issue_orders(mid, (1, at), T0 + 950, true).expect("orders").orders
+    };
     assert!(orders(&mut c, 5).iter().all(|o| !matches!(o, Order::Forget { .. })));
     let done = commit(&mut c).into_iter().find_map(|x| match x {
         Change::Put { path: put, value: v, .. } if put == "d/wk-000412/0" => Some(encode(&v)),
--- a/crates/fairness/benches/service.rs
+++ b/crates/fairness/benches/service.rs
@@ -1,9 +1,9 @@
 //! What the order of service and the ledger cost: `cargo bench -p copperhaven-fairness`. The table is in
 //! docs/results.md.
 
+use copperhaven_fairness::deficit::{Deficits, QueueEntry, TeamDemand, order_by_deficit};
 use copperhaven_fairness::ledger::FairnessLedger;
-use copperhaven_fairness::need::{TeamDemand, Deficits, QueueEntry, order_by_deficit};
-use copperhaven_fairness::{Class, Job, TeamClass, Team};
+use copperhaven_fairness::{Class, Job, Team, TeamClass};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -21,7 +21,12 @@
         let pair: TeamClass = (Team((n % teams) as u32), Class((n % 5) as u32));
         s.job_accepted(pair);
         s.job_opened(Job(n), pair, (n % 2 * AIM) as i64, AIM);
-        places.push(QueueEntry { team_class: pair, rank: ((n * 7 % 3) as u8, n), cpus: 4.0, item: n });
+        places.push(QueueEntry {
+            team_class: pair,
+            rank: ((n * 7 % 3) as u8, n),
+            cpus: 4.0,
+            item: n,
+        });
         let claim = claims.entry(pair.0).or_default();
         claim.weight = 10.0;
         claim.waiting_cpus += 4.0;
@@ -33,7 +38,9 @@
 fn cost(c: &mut Criterion) {
     for (jobs, teams) in [(100, 10), (1_000, 10), (10_000, 10), (10_000, 200)] {
         let (s, places, claims) = ledger(jobs, teams);
-        for (what, needs) in [("calm", Deficits::default()), ("short", s.compute_deficits(&claims, 1_000.0))] {
+        for (what, needs) in
+            [("calm", Deficits::default()), ("short", s.compute_deficits(&claims, 1_000.0))]
+        {
             c.bench_function(&format!("order, {jobs} jobs of {teams} teams, {what}"), |b| {
                 b.iter_batched(
                     || places.clone(),
--- a/crates/fairness/src/room.rs
+++ b/crates/fairness/src/capacity.rs
@@ -22,6 +22,7 @@
     pub fn can_admit(&self, all: u64, team: u64, more: u64) -> bool {
         let sum = all.saturating_add(more);
         let lent = self.max_tasks - self.max_tasks / KEPT;
-        sum <= lent || (sum <= self.max_tasks && team.saturating_add(more) <= self.reserved_per_team())
+        sum <= lent
+            || (sum <= self.max_tasks && team.saturating_add(more) <= self.reserved_per_team())
     }
 }
--- a/crates/fairness/src/need.rs
+++ b/crates/fairness/src/deficit.rs
@@ -9,7 +9,7 @@
 
 use crate::ledger::{FairnessCounters, FairnessLedger};
 use crate::shares::{WeightedDemand, weighted_max_min};
-use crate::{TeamClass, Team};
+use crate::{Team, TeamClass};
 use std::collections::BTreeMap;
 
 /// Whoever is served less than this part of what should have been done by now is in need.
@@ -31,7 +31,11 @@
 
     /// The need of somebody of whom this share is served.
     pub fn from_share(share: f64) -> DeficitLevel {
-        if share >= MIN_SERVED_SHARE { DeficitLevel::NONE } else { DeficitLevel((share / STEP).max(0.0) as u8) }
+        if share >= MIN_SERVED_SHARE {
+            DeficitLevel::NONE
+        } else {
+            DeficitLevel((share / STEP).max(0.0) as u8)
+        }
     }
 
     pub fn is_underserved(self) -> bool {
@@ -80,22 +84,30 @@
 impl FairnessLedger {
     /// Is anybody served less than the floor? If not, there is no need to work out claims.
     pub fn has_underserved(&self) -> bool {
-        let short = |late: u32, share: f64| late > 0 && DeficitLevel::from_share(share).is_underserved();
+        let short =
+            |late: u32, share: f64| late > 0 && DeficitLevel::from_share(share).is_underserved();
         self.team_classes().any(|(pair, row)| self.need_of(pair, row).is_underserved())
             || self.teams().any(|(_, r)| short(r.late, r.served_share_upper_bound(self.now)))
     }
 
     /// How urgently a class of a team is in need.
     fn need_of(&self, pair: TeamClass, row: &FairnessCounters) -> DeficitLevel {
-        let need = if row.late > 0 { DeficitLevel::from_share(row.served_share(self.now)) } else { DeficitLevel::NONE };
+        let need = if row.late > 0 {
+            DeficitLevel::from_share(row.served_share(self.now))
+        } else {
+            DeficitLevel::NONE
+        };
         if need.is_underserved() && self.famine(pair) { need } else { DeficitLevel::NONE }
     }
 
     /// Is the class, or the team, served too little as a whole, beyond what so few jobs may do by chance? A pair of
     /// them has few jobs even in a flood.
     fn famine(&self, (team, class): TeamClass) -> bool {
-        let of =
-            |row: Option<&FairnessCounters>| row.is_some_and(|r| DeficitLevel::from_share(r.served_share_upper_bound(self.now)).is_underserved());
+        let of = |row: Option<&FairnessCounters>| {
+            row.is_some_and(|r| {
+                DeficitLevel::from_share(r.served_share_upper_bound(self.now)).is_underserved()
+            })
+        };
         of(self.class(class)) || of(self.team(team))
     }
 
@@ -110,13 +122,18 @@
                 needs.pairs.insert(pair, need);
             }
         }
-        let want = |c: &TeamDemand| WeightedDemand { amount: c.used_cpus + c.waiting_cpus, weight: c.weight };
+        let want = |c: &TeamDemand| WeightedDemand {
+            amount: c.used_cpus + c.waiting_cpus,
+            weight: c.weight,
+        };
         let wants: Vec<WeightedDemand> = claims.values().map(want).collect();
         let fair = weighted_max_min(&wants, cpus);
         // What each had of late, and should have had of as much: whoever had more counts as using more
         // now, so that what was missed is made up for, whoever leads.
-        let had: Vec<f64> =
-            claims.keys().map(|t| self.team(*t).map_or(0.0, |r| r.recent.completed_cpu_s.value_at(now))).collect();
+        let had: Vec<f64> = claims
+            .keys()
+            .map(|t| self.team(*t).map_or(0.0, |r| r.recent.completed_cpu_s.value_at(now)))
+            .collect();
         let wants: Vec<WeightedDemand> = (had.iter().zip(&wants))
             .map(|(had, w)| WeightedDemand { amount: had + w.amount * CATCH_UP_S, ..*w })
             .collect();
@@ -146,7 +163,10 @@
 /// The order in which jobs are served: by rank, but of the places that a team has in it, its classes in
 /// need get the first; and before all others what teams in need may still have of their shares, evenly by
 /// weight.
-pub fn order_by_deficit<R: Ord + Copy, T: Copy>(places: &mut Vec<QueueEntry<R, T>>, needs: &Deficits) {
+pub fn order_by_deficit<R: Ord + Copy, T: Copy>(
+    places: &mut Vec<QueueEntry<R, T>>,
+    needs: &Deficits,
+) {
     places.sort_by_key(|p| p.rank);
     if !needs.has_any() {
         return;
--- a/crates/fairness/src/ledger.rs
+++ b/crates/fairness/src/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger of service: by team, by class and by both, what was offered, taken in, refused, done, and what
 //! it took. Kept up with what happens; nothing here looks through all jobs.
 
-use crate::fading::DecayingSum;
-use crate::{Class, Job, TeamClass, Team};
+use crate::decaying_sum::DecayingSum;
+use crate::{Class, Job, Team, TeamClass};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -108,7 +108,11 @@
 
 impl FairnessLedger {
     /// Applies to everything that is counted for this pair.
-    pub(crate) fn update_counters(&mut self, (team, class): TeamClass, mut f: impl FnMut(&mut FairnessCounters)) {
+    pub(crate) fn update_counters(
+        &mut self,
+        (team, class): TeamClass,
+        mut f: impl FnMut(&mut FairnessCounters),
+    ) {
         f(self.pairs.entry((team, class)).or_default());
         f(self.teams.entry(team).or_default());
         f(self.classes.entry(class).or_default());
--- a/crates/fairness/src/lib.rs
+++ b/crates/fairness/src/lib.rs
@@ -6,13 +6,13 @@
 //!
 //! Times are milliseconds on the caller's steady clock. Shares are between 0 and 1.
 
-pub mod carried;
-pub mod fading;
+pub mod capacity;
+pub mod decaying_sum;
+pub mod deficit;
 pub mod ledger;
 pub mod loss;
-pub mod need;
-pub mod room;
 pub mod shares;
+pub mod snapshot;
 
 /// A team, as the caller numbers it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/fairness/src/carried.rs
+++ b/crates/fairness/src/snapshot.rs
@@ -2,8 +2,8 @@
 //! when, a successor knows from the jobs' own records; sums by team and by class follow from those by both.
 
 use crate::TeamClass;
-use crate::fading::DecayingSum;
-use crate::ledger::{RecentSums, FairnessCounters, FairnessLedger};
+use crate::decaying_sum::DecayingSum;
+use crate::ledger::{FairnessCounters, FairnessLedger, RecentSums};
 use serde::{Deserialize, Serialize};
 
 /// One pair's counts. Short names: it is one of many in a record.
@@ -36,15 +36,25 @@
     pub fn snapshot(&self, name: impl Fn(TeamClass) -> (String, String)) -> Vec<FairnessSnapshot> {
         let now = self.now;
         let mut rows: Vec<(TeamClass, &FairnessCounters)> = self.team_classes().collect();
-        let weight = |r: &FairnessCounters| r.recent.done.value_at(now) + r.recent.completed_cpu_s.value_at(now) / 1000.0;
+        let weight = |r: &FairnessCounters| {
+            r.recent.done.value_at(now) + r.recent.completed_cpu_s.value_at(now) / 1000.0
+        };
         rows.sort_by(|a, b| weight(b.1).total_cmp(&weight(a.1)).then(a.0.cmp(&b.0)));
         let rows = rows.into_iter().map(|(pair, r)| {
             let (t, c) = name(pair);
             let [index, memory] = r.refused;
             let n = [r.accepted, r.done, r.cancelled, index, memory, r.started, r.preempted];
             let l = r.recent;
-            let l = [l.done.value_at(now), l.completed_cpu_s.value_at(now), l.lost_cpu_s.value_at(now)].map(short);
-            FairnessSnapshot { team: t, class: c, counts: n, cpu_totals_s: [r.completed_cpu_s, r.lost_cpu_s].map(short), recent: l }
+            let l =
+                [l.done.value_at(now), l.completed_cpu_s.value_at(now), l.lost_cpu_s.value_at(now)]
+                    .map(short);
+            FairnessSnapshot {
+                team: t,
+                class: c,
+                counts: n,
+                cpu_totals_s: [r.completed_cpu_s, r.lost_cpu_s].map(short),
+                recent: l,
+            }
         });
         rows.collect()
     }
--- a/crates/fairness/tests/service.rs
+++ b/crates/fairness/tests/service.rs
@@ -1,11 +1,13 @@
 //! The ledger against a plain recount, what a successor makes of it, and that nobody starves by the order
 //! that follows from it: random schedules against shares worked out plainly.
 
-use copperhaven_fairness::ledger::{LATE_FRACTION, FairnessLedger};
-use copperhaven_fairness::need::{TeamDemand, MIN_SERVED_SHARE, DeficitLevel, Deficits, QueueEntry, order_by_deficit};
-use copperhaven_fairness::room::TaskCapacity;
+use copperhaven_fairness::capacity::TaskCapacity;
+use copperhaven_fairness::deficit::{
+    DeficitLevel, Deficits, MIN_SERVED_SHARE, QueueEntry, TeamDemand, order_by_deficit,
+};
+use copperhaven_fairness::ledger::{FairnessLedger, LATE_FRACTION};
 use copperhaven_fairness::shares::{WeightedDemand, weighted_max_min};
-use copperhaven_fairness::{Class, Job, TeamClass, Team};
+use copperhaven_fairness::{Class, Job, Team, TeamClass};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -153,10 +155,15 @@
             let carried = s.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
             s = FairnessLedger::default();
             for row in &carried {
-                s.restore((Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap())), row, now);
+                s.restore(
+                    (Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap())),
+                    row,
+                    now,
+                );
             }
             for (i, jobs) in waiting.iter().enumerate() {
-                jobs.iter().for_each(|(job, since)| s.job_opened(*job, pair(i), *since as i64, AIM));
+                jobs.iter()
+                    .for_each(|(job, since)| s.job_opened(*job, pair(i), *since as i64, AIM));
             }
         }
         for (i, stream) in streams.iter().enumerate() {
@@ -341,7 +348,10 @@
         let needs = s.compute_deficits(&claims, 90.0);
         assert_eq!(pairs.map(|p| needs.class_deficit(p).is_underserved()), classes, "case {i}");
         assert_eq!([0, 1].map(|t| needs.is_team_underserved(Team(t))), teams, "case {i}");
-        assert_eq!((needs.has_any(), s.has_underserved()), (classes.contains(&true), classes.contains(&true)));
+        assert_eq!(
+            (needs.has_any(), s.has_underserved()),
+            (classes.contains(&true), classes.contains(&true))
+        );
         // Whoever has no weight, or no claim, goes before nobody.
         let guests = claims.keys().map(|t| (*t, TeamDemand { weight: 0.0, ..want })).collect();
         assert!(!s.compute_deficits(&guests, 90.0).is_team_underserved(Team(0)));
@@ -349,7 +359,10 @@
         // Nor does whoever has its share.
         assert!(!s.compute_deficits(&claims, 30.0).is_team_underserved(Team(0)));
     }
-    assert!(DeficitLevel::from_share(0.1) < DeficitLevel::from_share(0.5) && DeficitLevel::from_share(0.5) < DeficitLevel::from_share(MIN_SERVED_SHARE));
+    assert!(
+        DeficitLevel::from_share(0.1) < DeficitLevel::from_share(0.5)
+            && DeficitLevel::from_share(0.5) < DeficitLevel::from_share(MIN_SERVED_SHARE)
+    );
 }
 
 #[test]
--- a/crates/reach/src/standing.rs
+++ b/crates/reach/src/candidacy.rs
@@ -4,9 +4,9 @@
 //! `MOST_WAIT_MS` at the latest while nobody leads, and hands over at most once in `STEADY_MS`.
 
 use crate::Member;
-use crate::facts::Connectivity;
+use crate::connectivity::Connectivity;
 use crate::fitness::{Fitness, fitness};
-use crate::returns::RESTART_BACKOFF_MS;
+use crate::restart::RESTART_BACKOFF_MS;
 
 /// Whoever knows of a fitter one leaves it the first try.
 const AFTER_FITTER_MS: u64 = 800;
@@ -50,7 +50,9 @@
 
 impl ElectionView<'_> {
     fn fitness(&self, member: Member, facts: &Connectivity, leads: bool) -> Fitness {
-        let of = |m: Member| if m == self.self_member { Some(self.local) } else { (self.peer_connectivity)(m) };
+        let of = |m: Member| {
+            if m == self.self_member { Some(self.local) } else { (self.peer_connectivity)(m) }
+        };
         fitness(member, facts, leads, of)
     }
 
@@ -87,7 +89,9 @@
     pub fn election_delay_ms(&self, view: &ElectionView, now: u64) -> u64 {
         let mine = view.fitness(view.self_member, &view.local, false);
         let mut wait = 0;
-        let fitter = view.others().any(|(m, f)| view.fitness(m, &f, false).reachability() > mine.reachability());
+        let fitter = view
+            .others()
+            .any(|(m, f)| view.fitness(m, &f, false).reachability() > mine.reachability());
         if fitter {
             wait = AFTER_FITTER_MS;
         }
@@ -108,9 +112,15 @@
 
     /// As leader: to whom to hand over, if anybody has been fitter for long enough: it reaches the
     /// state service and the workers by itself, of which this one reaches none.
-    pub fn handover_target(&mut self, view: &ElectionView, elected: u64, now: u64) -> Option<Member> {
+    pub fn handover_target(
+        &mut self,
+        view: &ElectionView,
+        elected: u64,
+        now: u64,
+    ) -> Option<Member> {
         let deaf = view.local.workers_percent == Some(0);
-        let better = |(m, f): &(Member, Connectivity)| f.is_fit_to_lead() && view.local.can_hear(*m);
+        let better =
+            |(m, f): &(Member, Connectivity)| f.is_fit_to_lead() && view.local.can_hear(*m);
         let best = view.others().filter(better).max_by_key(|(m, f)| view.fitness(*m, f, false));
         let Some((m, _)) = best.filter(|_| deaf) else {
             self.outdone = None;
--- a/crates/reach/src/told.rs
+++ b/crates/reach/src/codec.rs
@@ -3,7 +3,7 @@
 //! the same as that it reaches nothing.
 
 use crate::Member;
-use crate::facts::{CONNECTIVITY_TTL_MS, Connectivity};
+use crate::connectivity::{CONNECTIVITY_TTL_MS, Connectivity};
 use crate::link::Reachability;
 use zerocopy::byteorder::little_endian::{U16, U32};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
@@ -75,7 +75,10 @@
 }
 
 /// What a peer told of itself and of others, among so many members. All of it or nothing.
-pub fn decode(bytes: &[u8], members: usize) -> Result<Vec<(Member, Connectivity, u64)>, DecodeError> {
+pub fn decode(
+    bytes: &[u8],
+    members: usize,
+) -> Result<Vec<(Member, Connectivity, u64)>, DecodeError> {
     let size = size_of::<Record>();
     if !bytes.len().is_multiple_of(size) || bytes.len() / size > members {
         return Err(DecodeError::Length(bytes.len()));
--- a/crates/reach/src/facts.rs
+++ b/crates/reach/src/connectivity.rs
@@ -23,7 +23,8 @@
 
     /// All that a leader needs, by itself.
     pub fn is_fit_to_lead(&self) -> bool {
-        self.state_service >= Reachability::Slow && self.workers_percent.is_some_and(|w| w >= HALF_OF_ZONES_PERCENT)
+        self.state_service >= Reachability::Slow
+            && self.workers_percent.is_some_and(|w| w >= HALF_OF_ZONES_PERCENT)
     }
 }
 
@@ -49,7 +50,11 @@
 
 impl Default for LocalConnectivity {
     fn default() -> Self {
-        LocalConnectivity { state_service: Link::new(STATE_MS), cloud: Link::new(CLOUD_MS), zones: BTreeMap::new() }
+        LocalConnectivity {
+            state_service: Link::new(STATE_MS),
+            cloud: Link::new(CLOUD_MS),
+            zones: BTreeMap::new(),
+        }
     }
 }
 
@@ -73,11 +78,20 @@
     }
 
     pub fn connectivity(&self, peers: u16, now: u64) -> Connectivity {
-        let known: Vec<Reachability> =
-            self.zones.values().map(|l| l.reachability(now)).filter(|r| *r != Reachability::Unknown).collect();
+        let known: Vec<Reachability> = self
+            .zones
+            .values()
+            .map(|l| l.reachability(now))
+            .filter(|r| *r != Reachability::Unknown)
+            .collect();
         let up = known.iter().filter(|r| **r != Reachability::Down).count();
         let workers = (!known.is_empty()).then(|| (up * 100 / known.len()) as u8);
-        Connectivity { state_service: self.state_service.reachability(now), workers_percent: workers, cloud: self.cloud.reachability(now), peer_mask: peers }
+        Connectivity {
+            state_service: self.state_service.reachability(now),
+            workers_percent: workers,
+            cloud: self.cloud.reachability(now),
+            peer_mask: peers,
+        }
     }
 }
 
--- a/crates/reach/src/fitness.rs
+++ b/crates/reach/src/fitness.rs
@@ -2,7 +2,7 @@
 //! who leads.
 
 use crate::Member;
-use crate::facts::{Connectivity, HALF_OF_ZONES_PERCENT};
+use crate::connectivity::{Connectivity, HALF_OF_ZONES_PERCENT};
 use crate::link::Reachability;
 use std::cmp::Reverse;
 
@@ -41,8 +41,16 @@
         Some(_) => 3,
     };
     let peers = (0..16).map(Member).filter(|m| *m != member && own.can_hear(*m));
-    let over =
-        |m: Member| of(m).map_or(1, |f| if f.workers_percent.is_some_and(|w| w > 0) { 2 } else { 0 });
+    let over = |m: Member| {
+        of(m).map_or(1, |f| if f.workers_percent.is_some_and(|w| w > 0) { 2 } else { 0 })
+    };
     let relayed = peers.map(over).max().unwrap_or(0);
-    Fitness { state: own.state_service, direct, relayed, cloud: own.cloud, leads, name: Reverse(member) }
+    Fitness {
+        state: own.state_service,
+        direct,
+        relayed,
+        cloud: own.cloud,
+        leads,
+        name: Reverse(member),
+    }
 }
--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -9,12 +9,12 @@
 //!
 //! Times are milliseconds on the caller's steady clock; successes count from when the request was sent.
 
-pub mod facts;
+pub mod candidacy;
+pub mod codec;
+pub mod connectivity;
 pub mod fitness;
 pub mod link;
-pub mod returns;
-pub mod standing;
-pub mod told;
+pub mod restart;
 
 /// A controller, by its place in the order of all members' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/reach/src/returns.rs
+++ b/crates/reach/src/restart.rs
@@ -48,7 +48,13 @@
 /// For a process that does not lead: `member` is its name, `seat` the address on which it listens, none before
 /// it does; `first`: it has not seen the key since its start; `now` is the time of day in milliseconds. Only
 /// politeness rests on the time of day, no rule.
-pub fn decide(held: LeaderKey, member: &str, seat: Option<&str>, first: bool, now: u64) -> KeyDecision {
+pub fn decide(
+    held: LeaderKey,
+    member: &str,
+    seat: Option<&str>,
+    first: bool,
+    now: u64,
+) -> KeyDecision {
     let proven = held.member == member && held.listen_addr.is_some() && held.listen_addr == seat;
     if !proven || !seat.is_some_and(sole) {
         return KeyDecision::HeldByOther;
@@ -57,8 +63,11 @@
     if !first || again {
         return KeyDecision::Release;
     }
-    let returns =
-        if now.abs_diff(held.elected_at_ms) < LATELY_MS { held.restarts.saturating_add(1) } else { 1 };
+    let returns = if now.abs_diff(held.elected_at_ms) < LATELY_MS {
+        held.restarts.saturating_add(1)
+    } else {
+        1
+    };
     KeyDecision::TakeOver { restarts: returns }
 }
 
--- a/crates/reach/tests/reach.rs
+++ b/crates/reach/tests/connectivity.rs
@@ -1,10 +1,14 @@
 //! What links say, what is told, who stands first: tables and properties.
 
 use copperhaven_reach::Member;
-use copperhaven_reach::facts::{CONNECTIVITY_TTL_MS, Connectivity, PeerConnectivity, LocalConnectivity};
+use copperhaven_reach::candidacy::{
+    Candidacy, ElectionView, HANDOVER_DAMPING_MS, MAX_ELECTION_DELAY_MS, MIN_LEADERSHIP_MS,
+};
+use copperhaven_reach::codec::{DecodeError, decode, encode};
+use copperhaven_reach::connectivity::{
+    CONNECTIVITY_TTL_MS, Connectivity, LocalConnectivity, PeerConnectivity,
+};
 use copperhaven_reach::link::{Link, Reachability};
-use copperhaven_reach::standing::{HANDOVER_DAMPING_MS, MAX_ELECTION_DELAY_MS, MIN_LEADERSHIP_MS, Candidacy, ElectionView};
-use copperhaven_reach::told::{DecodeError, decode, encode};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -52,7 +56,11 @@
     own.zone_link_mut(0).record_answer(1000, 1010);
     own.zone_link_mut(1).record_failure(1000);
     own.zone_link_mut(2);
-    assert_eq!(own.connectivity(0, 1100).workers_percent, Some(50), "of two that are known one answers");
+    assert_eq!(
+        own.connectivity(0, 1100).workers_percent,
+        Some(50),
+        "of two that are known one answers"
+    );
     own.zone_link_mut(0).record_failure(1200);
     own.zone_link_mut(0).record_failure(1300);
     assert_eq!(own.connectivity(0, 1400).workers_percent, Some(0));
@@ -60,13 +68,20 @@
 }
 
 fn facts(state: Reachability, workers: Option<u8>, peers: u16) -> Connectivity {
-    Connectivity { state_service: state, workers_percent: workers, cloud: Reachability::Up, peer_mask: peers }
+    Connectivity {
+        state_service: state,
+        workers_percent: workers,
+        cloud: Reachability::Up,
+        peer_mask: peers,
+    }
 }
 
 #[test]
 fn nonsense_is_told_apart() {
-    let good =
-        encode([(Member(2), facts(Reachability::Up, Some(70), 3), 0), (Member(0), Connectivity::default(), 900)]);
+    let good = encode([
+        (Member(2), facts(Reachability::Up, Some(70), 3), 0),
+        (Member(0), Connectivity::default(), 900),
+    ]);
     let got = decode(&good, 3).expect("facts");
     assert_eq!(got[0], (Member(2), facts(Reachability::Up, Some(70), 3), 0));
     assert_eq!((got[1].1.workers_percent, got[1].2), (None, 900));
@@ -102,9 +117,23 @@
 }
 
 /// How long a controller waits of which this is known.
-fn waits(s: &Candidacy, me: usize, own: Connectivity, others: &[(usize, Connectivity)], now: u64) -> u64 {
+fn waits(
+    s: &Candidacy,
+    me: usize,
+    own: Connectivity,
+    others: &[(usize, Connectivity)],
+    now: u64,
+) -> u64 {
     let of = |m: Member| others.iter().find(|(o, _)| *o == m.0).map(|(_, f)| *f);
-    s.election_delay_ms(&ElectionView { self_member: Member(me), local: own, member_count: 3, peer_connectivity: &of }, now)
+    s.election_delay_ms(
+        &ElectionView {
+            self_member: Member(me),
+            local: own,
+            member_count: 3,
+            peer_connectivity: &of,
+        },
+        now,
+    )
 }
 
 #[test]
@@ -145,7 +174,10 @@
     assert_eq!(waits(&s, 0, alone, &[], 20_100), 7_000);
     for t in 3..20 {
         s.record_step_down(t * 10_000);
-        assert!(waits(&s, 0, alone, &[], t * 10_000) <= MAX_ELECTION_DELAY_MS, "but it leads in the end");
+        assert!(
+            waits(&s, 0, alone, &[], t * 10_000) <= MAX_ELECTION_DELAY_MS,
+            "but it leads in the end"
+        );
     }
     // Once it reaches workers again it is as good as others; and after a while it is forgotten.
     assert_eq!(waits(&s, 0, facts(Reachability::Up, Some(100), 0), &[], 191_000), 0);
@@ -176,7 +208,12 @@
         for n in 0..120u64 {
             let (own, other) = steps[n as usize % steps.len()];
             let of = |m: Member| other.filter(|_| m == Member(1));
-            let view = ElectionView { self_member: Member(0), local: own, member_count: 3, peer_connectivity: &of };
+            let view = ElectionView {
+                self_member: Member(0),
+                local: own,
+                member_count: 3,
+                peer_connectivity: &of,
+            };
             if let Some(to) = s.handover_target(&view, 0, n * 500) {
                 done = Some((to, n * 500));
                 break;
@@ -191,16 +228,18 @@
 }
 
 fn any_reach() -> impl Strategy<Value = Reachability> {
-    prop_oneof![Just(Reachability::Down), Just(Reachability::Unknown), Just(Reachability::Slow), Just(Reachability::Up)]
+    prop_oneof![
+        Just(Reachability::Down),
+        Just(Reachability::Unknown),
+        Just(Reachability::Slow),
+        Just(Reachability::Up)
+    ]
 }
 
 fn any_facts() -> impl Strategy<Value = Connectivity> {
     let workers = prop_oneof![Just(None), (0..=100u8).prop_map(Some)];
-    (any_reach(), workers, any_reach(), 0..16u16).prop_map(|(state, workers, cloud, peers)| Connectivity {
-        state_service: state,
-        workers_percent: workers,
-        cloud,
-        peer_mask: peers,
+    (any_reach(), workers, any_reach(), 0..16u16).prop_map(|(state, workers, cloud, peers)| {
+        Connectivity { state_service: state, workers_percent: workers, cloud, peer_mask: peers }
     })
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -8,9 +8,9 @@
 //!
 //! Times are milliseconds on the caller's steady clock.
 
-pub mod lane;
 pub mod phase;
-pub mod square;
+pub mod reconcile;
+pub mod send_queue;
 
 /// A machine, by the caller's number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/recovery/src/phase.rs
+++ b/crates/recovery/src/phase.rs
@@ -88,7 +88,11 @@
     }
 
     /// All records are read; these machines are on record.
-    pub fn records_loaded(&mut self, machines: impl IntoIterator<Item = (Machine, Zone)>, now: u64) {
+    pub fn records_loaded(
+        &mut self,
+        machines: impl IntoIterator<Item = (Machine, Zone)>,
+        now: u64,
+    ) {
         self.read = Some(now);
         self.at = now;
         for (machine, zone) in machines {
@@ -122,7 +126,12 @@
         z.closed = true;
         let (recorded, unheard) = (z.recorded, z.unheard);
         let took_ms = now.saturating_sub(self.begun);
-        self.closed.push(Closed { zone, recorded_machines: recorded, unreported_machines: unheard, elapsed_ms: took_ms });
+        self.closed.push(Closed {
+            zone,
+            recorded_machines: recorded,
+            unreported_machines: unheard,
+            elapsed_ms: took_ms,
+        });
         if self.zones.values().all(|z| z.closed) {
             self.served = Some(now);
         }
@@ -190,9 +199,19 @@
             r.machine_reported(Machine(i), 2_000);
         }
         let closed = r.advance_time(2_000);
-        assert_eq!(closed, [Closed { zone: Zone(0), recorded_machines: 10, unreported_machines: 0, elapsed_ms: 1_000 }]);
+        assert_eq!(
+            closed,
+            [Closed {
+                zone: Zone(0),
+                recorded_machines: 10,
+                unreported_machines: 0,
+                elapsed_ms: 1_000
+            }]
+        );
         assert_eq!((r.phase(), r.unreported_count()), (Phase::Hearing, 10));
-        assert!(r.is_report_expected(Machine(1), 2_000) && !r.is_report_expected(Machine(0), 2_000));
+        assert!(
+            r.is_report_expected(Machine(1), 2_000) && !r.is_report_expected(Machine(0), 2_000)
+        );
     }
 
     #[test]
@@ -217,7 +236,10 @@
         assert_eq!(r.phase(), Phase::Hearing);
         r.machine_reported(Machine(97), 950);
         assert_eq!(r.phase(), Phase::Serving, "two of a hundred are missing");
-        assert!(r.is_report_expected(Machine(98), 1_000), "their places still count until the bound");
+        assert!(
+            r.is_report_expected(Machine(98), 1_000),
+            "their places still count until the bound"
+        );
         let mut none = Recovery::begin(0, 4_000);
         none.records_loaded([], 100);
         assert_eq!(none.phase(), Phase::Serving, "the very first start");
--- a/crates/recovery/src/square.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -81,11 +81,19 @@
         (None, None) => return None,
         (Some(_), None) => ReconcileOutcome::Absent,
         (_, Some(_)) if !p.job_open => ReconcileOutcome::JobOver,
-        (_, Some(ReportedTask { state: ReportedState::Done, .. })) => ReconcileOutcome::DoneMeanwhile,
+        (_, Some(ReportedTask { state: ReportedState::Done, .. })) => {
+            ReconcileOutcome::DoneMeanwhile
+        }
         (None, Some(ReportedTask { state: ReportedState::Ended, .. })) => ReconcileOutcome::JobOver,
-        (Some(_), Some(ReportedTask { state: ReportedState::Ended, .. })) => ReconcileOutcome::EndedMeanwhile,
-        (_, Some(ReportedTask { state: ReportedState::Present, .. })) if p.recorded_done => ReconcileOutcome::DoneTwice,
-        (None, Some(ReportedTask { state: ReportedState::Present, .. })) => ReconcileOutcome::NotOnRecord,
+        (Some(_), Some(ReportedTask { state: ReportedState::Ended, .. })) => {
+            ReconcileOutcome::EndedMeanwhile
+        }
+        (_, Some(ReportedTask { state: ReportedState::Present, .. })) if p.recorded_done => {
+            ReconcileOutcome::DoneTwice
+        }
+        (None, Some(ReportedTask { state: ReportedState::Present, .. })) => {
+            ReconcileOutcome::NotOnRecord
+        }
         (Some(a), Some(r)) if a != r.attempt => ReconcileOutcome::OtherAttempt,
         (Some(_), Some(_)) => ReconcileOutcome::GoneOn,
     };
@@ -126,9 +134,16 @@
         let there = |attempt| Some(ReportedTask { attempt, state: ReportedState::Present });
         let done = Some(ReportedTask { attempt: 7, state: ReportedState::Done });
         let ended = Some(ReportedTask { attempt: 7, state: ReportedState::Ended });
-        let open = |recorded, reported| TaskComparison { recorded, reported, job_open: true, recorded_done: false };
-        let over = |recorded, reported| TaskComparison { job_open: false, ..open(recorded, reported) };
-        let again = |recorded, reported| TaskComparison { recorded_done: true, ..open(recorded, reported) };
+        let open = |recorded, reported| TaskComparison {
+            recorded,
+            reported,
+            job_open: true,
+            recorded_done: false,
+        };
+        let over =
+            |recorded, reported| TaskComparison { job_open: false, ..open(recorded, reported) };
+        let again =
+            |recorded, reported| TaskComparison { recorded_done: true, ..open(recorded, reported) };
         let rows = [
             (open(None, None), None),
             (open(Some(7), there(7)), Some(ReconcileOutcome::GoneOn)),
@@ -150,7 +165,9 @@
         for (pair, row) in rows {
             assert_eq!(reconcile(pair), row, "{pair:?}");
         }
-        for row in ReconcileOutcome::ALL.iter().filter(|r| **r != ReconcileOutcome::MachineUnreported) {
+        for row in
+            ReconcileOutcome::ALL.iter().filter(|r| **r != ReconcileOutcome::MachineUnreported)
+        {
             assert!(rows.iter().any(|(_, r)| *r == Some(*row)), "{row:?} is never met");
         }
     }
@@ -162,6 +179,9 @@
         c.add(ReconcileOutcome::GoneOn, 3);
         c.add(ReconcileOutcome::MachineUnreported, 1);
         c.add(ReconcileOutcome::GoneOn, 1);
-        assert_eq!((c.summary().as_str(), c.of(ReconcileOutcome::GoneOn)), ("4 gone on, 1 not heard", 4));
+        assert_eq!(
+            (c.summary().as_str(), c.of(ReconcileOutcome::GoneOn)),
+            ("4 gone on, 1 not heard", 4)
+        );
     }
 }
--- a/crates/recovery/tests/lane.rs
+++ b/crates/recovery/tests/send_queue.rs
@@ -1,7 +1,7 @@
 //! The lane under random loads: never faster than its budget, halts before terms, nothing lost but what is
 //! counted.
 
-use copperhaven_recovery::lane::{SendBudget, SendQueue, SendPriority};
+use copperhaven_recovery::send_queue::{SendBudget, SendPriority, SendQueue};
 use proptest::prelude::*;
 
 #[test]
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -6,13 +6,13 @@
 //! can't even read the term. The records decide; what controllers tell each other in frames is never counted.
 //! docs/rollout.md has the alternatives, docs/safety.md what rests on it.
 
-pub mod can;
-pub mod next;
+pub mod abilities;
 pub mod stages;
+pub mod transition;
 
-pub use can::AbilitiesRecord;
-pub use next::{HoldReason, Transition, AbilityOverrides, next_transition};
-pub use stages::{StageEntry, Stage, StagesRecord};
+pub use abilities::AbilitiesRecord;
+pub use stages::{Stage, StageEntry, StagesRecord};
+pub use transition::{AbilityOverrides, HoldReason, Transition, next_transition};
 
 /// The lists of several machines in one record (`p/N`).
 pub const PACKS: &str = "packs";
@@ -43,13 +43,17 @@
         };
         let off = AbilityOverrides { disabled: set(&[PACKS]), ..AbilityOverrides::default() };
         let on = AbilityOverrides { enabled: set(&[PACKS]), ..AbilityOverrides::default() };
-        let gone = AbilityOverrides { excluded_members: set(&["c"]), ..AbilityOverrides::default() };
+        let gone =
+            AbilityOverrides { excluded_members: set(&["c"]), ..AbilityOverrides::default() };
         let lone = AbilityOverrides { excluded_members: set(&all), ..AbilityOverrides::default() };
         let plain = AbilityOverrides::default();
-        let to =
-            |stage, who: &[&str]| Transition::Move(stage, who.iter().map(ToString::to_string).collect());
+        let to = |stage, who: &[&str]| {
+            Transition::Move(stage, who.iter().map(ToString::to_string).collect())
+        };
         let waits = |who: &[&str]| {
-            Transition::Hold(HoldReason::MissingMembers(who.iter().map(ToString::to_string).collect()))
+            Transition::Hold(HoldReason::MissingMembers(
+                who.iter().map(ToString::to_string).collect(),
+            ))
         };
         use Stage::*;
         let rows = [
@@ -57,20 +61,42 @@
             (at(None, true), &plain, &all[..2], false, waits(&["c"])),
             (at(None, true), &gone, &all[..2], false, to(Written, &all[..2])),
             (at(None, true), &lone, &all[..], false, waits(&[])),
-            (at(None, false), &plain, &all[..], false, Transition::Hold(HoldReason::LegacyInstallation)),
+            (
+                at(None, false),
+                &plain,
+                &all[..],
+                false,
+                Transition::Hold(HoldReason::LegacyInstallation),
+            ),
             (at(None, false), &on, &all[..], false, to(Written, &all)),
             (at(None, false), &on, &all[..1], false, waits(&["b", "c"])),
             (at(None, true), &off, &all[..], false, Transition::Hold(HoldReason::Disabled)),
-            (at(Some(Written), true), &plain, &[][..], true, Transition::Hold(HoldReason::Complete)),
+            (
+                at(Some(Written), true),
+                &plain,
+                &[][..],
+                true,
+                Transition::Hold(HoldReason::Complete),
+            ),
             (at(Some(Written), true), &off, &[][..], true, to(Read, &[])),
-            (at(Some(Read), true), &off, &[][..], true, Transition::Hold(HoldReason::RemainingRecords)),
+            (
+                at(Some(Read), true),
+                &off,
+                &[][..],
+                true,
+                Transition::Hold(HoldReason::RemainingRecords),
+            ),
             (at(Some(Read), true), &off, &[][..], false, to(Known, &[])),
             // Wanted again before it was over.
             (at(Some(Read), false), &plain, &all[..], true, to(Written, &all)),
             (at(Some(Read), false), &plain, &all[..1], true, waits(&["b", "c"])),
         ];
         for (i, (stages, wish, who, left, expected)) in rows.into_iter().enumerate() {
-            assert_eq!(next_transition(PACKS, &stages, &members, &cans(who), wish, left), expected, "row {i}");
+            assert_eq!(
+                next_transition(PACKS, &stages, &members, &cans(who), wish, left),
+                expected,
+                "row {i}"
+            );
         }
     }
 
@@ -78,7 +104,8 @@
     fn what_is_not_known_keeps_a_release_from_leading_only_where_it_matters() {
         let other = |stage| {
             let mut s = at(None, true);
-            s.stages.insert("shards".into(), StageEntry { stage, term: 1, counted_members: vec![] });
+            s.stages
+                .insert("shards".into(), StageEntry { stage, term: 1, counted_members: vec![] });
             s
         };
         for (stages, unknown, fences) in [
@@ -91,7 +118,11 @@
             (other(2), Some("shards"), true),
             (other(9), Some("shards"), true),
         ] {
-            assert_eq!((stages.unsupported_ability(), stages.requires_fence()), (unknown, fences), "{stages:?}");
+            assert_eq!(
+                (stages.unsupported_ability(), stages.requires_fence()),
+                (unknown, fences),
+                "{stages:?}"
+            );
         }
     }
 }
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -80,7 +80,10 @@
         counted: Vec<String>,
     ) -> StagesRecord {
         let mut next = self.clone();
-        next.stages.insert(ability.into(), StageEntry { stage: stage as u8, term, counted_members: counted });
+        next.stages.insert(
+            ability.into(),
+            StageEntry { stage: stage as u8, term, counted_members: counted },
+        );
         next
     }
 }
--- a/crates/rollout/src/next.rs
+++ b/crates/rollout/src/transition.rs
@@ -1,6 +1,6 @@
 //! The next step of an ability, or what it waits for.
 
-use crate::can::AbilitiesRecord;
+use crate::abilities::AbilitiesRecord;
 use crate::stages::{Stage, StagesRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,7 +63,8 @@
     if !stages.born_with_stages && !wish.enabled.contains(ability) && stage == Stage::Known {
         return Transition::Hold(HoldReason::LegacyInstallation);
     }
-    let counted: Vec<&String> = members.iter().filter(|m| !wish.excluded_members.contains(*m)).collect();
+    let counted: Vec<&String> =
+        members.iter().filter(|m| !wish.excluded_members.contains(*m)).collect();
     let can = |m: &&&String| cans.get(**m).is_some_and(|c| c.abilities.contains(ability));
     let missing: Vec<String> =
         counted.iter().filter(|m| !can(m)).map(ToString::to_string).collect();
--- a/crates/rollout/tests/explore.rs
+++ b/crates/rollout/tests/explore.rs
@@ -2,7 +2,9 @@
 //! that knows no stages; a leader that moves stages, writes and takes back; operators who change their minds. Every
 //! order of events to a depth; states met once. The shortest way to a broken property is printed.
 
-use copperhaven_rollout::{AbilitiesRecord, Transition, PACKS, Stage, StagesRecord, AbilityOverrides, next_transition};
+use copperhaven_rollout::{
+    AbilitiesRecord, AbilityOverrides, PACKS, Stage, StagesRecord, Transition, next_transition,
+};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -73,7 +75,9 @@
         Event::Elect(i) if w.leader.is_none() => {
             match w.process[i] {
                 Process::Down => return None,
-                Process::Old if stages(w).requires_fence() && fault != Fault::NoFence => return None,
+                Process::Old if stages(w).requires_fence() && fault != Fault::NoFence => {
+                    return None;
+                }
                 Process::New if stages(w).unsupported_ability().is_some() => return None,
                 _ => {}
             }
--- a/crates/wire/src/jobs.rs
+++ b/crates/wire/src/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs as users send them and as they are told of them (protocol, "Users -> controller nodes").
 
-use crate::limits::{MAX_TASKS_PER_JOB, MAX_NAME_BYTES};
+use crate::limits::{MAX_NAME_BYTES, MAX_TASKS_PER_JOB};
 use serde::{Deserialize, Serialize};
 
 /// A job as it is submitted and recorded.
