--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -1,4 +1,7 @@
-//! Jobs: what the leader keeps of each.
+//! The state that the leader keeps of each job.
+//!
+//! Fields in `_mono_ms` and, unless said otherwise, all other times are milliseconds on the leader's
+//! steady clock; fields in `_at_ms` are the time of day in milliseconds.
 
 use crate::state::names::*;
 use crate::state::table::HasName;
@@ -7,69 +10,101 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Ten years in milliseconds: times and spans further away are taken for this far, so that sums of them
-/// stay numbers, whatever a submission or a record says.
+/// Ten years in milliseconds. Larger times and durations are clamped to it, so that their sums do not
+/// overflow, whatever a submission or a record contains.
 pub const MAX_TIME_MS: i64 = 10 * 365 * 24 * 3600 * 1000;
 
-/// A span of seconds in milliseconds.
+/// Converts a duration in seconds to milliseconds, clamped to 0..=`MAX_TIME_MS`.
 pub fn secs_to_ms(seconds: f64) -> i64 {
     ((seconds * 1000.0) as i64).clamp(0, MAX_TIME_MS)
 }
 
-/// Room for rounding when amounts are added up.
+/// Tolerance for rounding errors in sums of CPUs and GPUs.
 pub const EPS: f64 = 1e-6;
 
-/// Finished tasks are recorded in chunks of this many, so that a chunk fits into a value.
+/// Number of tasks whose completion is recorded together in one chunk, so that a chunk fits into a stored value.
 pub const DONE_CHUNK_TASKS: u32 = 1024;
 
-/// Parts in which a chunk of finished ranges is written that is too scattered for one value. Two
-/// of their tasks for every range, each range some eight bytes long: 1 KiB a part at most.
+/// Number of parts in which a chunk is written whose ranges of finished tasks are too many for one
+/// value. Each range stands for at least two task numbers (a finished task and a gap) and takes about
+/// eight bytes, so a part takes at most 1 KiB.
 pub const DONE_CHUNK_PARTS: u32 = 4;
 
-/// A job's shape and demands, names mapped to indices.
+/// The kind and demands of a job, with names mapped to indices.
 #[derive(Debug, Clone)]
 pub struct JobSpec {
+    /// Job id as submitted, unique in the deployment.
     pub uid: Arc<str>,
+    /// Class of jobs with which run times and objectives are shared.
     pub class: ClassId,
+    /// Team that owns the job.
     pub team: TeamId,
+    /// Array, gang or service.
     pub kind: JobKind,
+    /// Effective priority: the job's own, or a higher one inherited from jobs that depend on it.
     pub priority: Priority,
+    /// Number of tasks; their indices are 0 to `tasks` - 1.
     pub tasks: u32,
+    /// CPUs of each task.
     pub cpus: f64,
+    /// GPUs of each task.
     pub gpus: f64,
+    /// Memory of each task in GB.
     pub mem_gb: f64,
+    /// Image that each task needs on its machine.
     pub image: ImageId,
+    /// Size of the image in GB.
     pub image_gb: f64,
     /// Allowed machine types.
     pub machine_types: Vec<TypeId>,
+    /// The only allowed zone; `None` if any zone will do.
     pub zone: Option<ZoneId>,
+    /// Whether all tasks have to run in one zone.
     pub one_zone: bool,
+    /// Whether at most half of the tasks (rounded up) may run in one zone.
     pub spread: bool,
+    /// Whether tasks may run on spot machines.
     pub spot: bool,
+    /// The submitter's estimate of a task's run time in seconds.
     pub estimate_s: f64,
+    /// Seconds between checkpoints of a task; 0 if it saves none.
     pub checkpoint_interval_s: f64,
+    /// Seconds that a task takes to save a checkpoint.
     pub checkpoint_save_s: f64,
+    /// Seconds from acceptance within which the job should be done.
     pub deadline_s: Option<f64>,
 }
 
-/// Why a job waits, in words for its team.
+/// Why a job waits; `text` is what its team is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum WaitReason {
+    /// No reason is known.
     #[default]
     Nothing,
+    /// A record that has to be saved before a task may start is not saved yet.
     Recording,
+    /// Jobs that it depends on are not done.
     Dependencies,
+    /// The team's resource limit is reached.
     TeamLimit,
+    /// No eligible machine has enough free capacity.
     NoRoom,
+    /// A machine for it is booting.
     Booting,
+    /// Its machine is pulling the image.
     Image,
+    /// A task may still be running on a machine that has not reported in this term.
     UnheardMachine,
+    /// Its tasks failed on every machine that was tried; the next attempt comes after a backoff.
     Backoff,
+    /// A gang whose tasks are not all placed yet.
     GangMembers,
+    /// Tasks that were told to stop, its own or preempted ones, still occupy their machines.
     Stopping,
 }
 
 impl WaitReason {
+    /// The reason as it is shown to users; empty for `Nothing`.
     pub fn text(self) -> &'static str {
         match self {
             WaitReason::Nothing => "",
@@ -89,86 +124,108 @@
     }
 }
 
+/// A job in the leader's memory.
 #[derive(Debug)]
 pub struct Job {
+    /// Demands as the leader uses them.
     pub spec: Arc<JobSpec>,
+    /// The job as submitted and recorded.
     pub body: Arc<JobBody>,
-    /// Time of day of acceptance, milliseconds; with the id, the order of arrival.
+    /// Time of day of acceptance in milliseconds; together with the id it gives the order of arrival.
     pub accepted_at_ms: u64,
-    /// The same moment on the leader's steady clock; before its start for jobs taken over.
+    /// The moment of acceptance on the leader's steady clock; negative for a job accepted before the clock's start.
     pub accepted_mono_ms: i64,
-    /// Since when nothing it needs is missing, on the same clock and as time of day: the moment of
-    /// acceptance, or when the last job that it waits for was done.
+    /// Since when all dependencies are met, on the steady clock: the moment of acceptance, or when the
+    /// last job that it depends on was done.
     pub eligible_mono_ms: i64,
+    /// The same moment as time of day.
     pub eligible_at_ms: u64,
-    /// Jobs that it waits for and of which it is not recorded yet that they are done.
+    /// Jobs that it depends on and that are not yet recorded as done.
     pub pending_dependencies: BTreeSet<Arc<str>>,
-    /// How many records of its own list more of them.
+    /// Number of separate records that list those dependencies that the job's own record has no space for.
     pub dependency_parts: u32,
-    /// It needs a job of which nobody can tell whether it is cancelled: so nobody can tell of it.
+    /// Whether it depends, directly or through other jobs, on a job of which it cannot be determined whether
+    /// it is cancelled, so that its own outcome is unknown as well.
     pub outcome_unknown: bool,
-    /// Cancelled because of a job that it needs; that one's record says so.
+    /// Whether it was cancelled because a job that it depends on was; that job's record says so.
     pub cancelled_by_dependency: bool,
-    /// When it should be done for its own deadline or that of the jobs that need it, and when it
-    /// is expected to be, on the leader's steady clock.
+    /// When it should be done to meet its own deadline and those of the jobs that depend on it, in
+    /// milliseconds on the steady clock.
     pub effective_deadline: Option<i64>,
+    /// When it is expected to be done, in milliseconds on the steady clock.
     pub eta: i64,
-    /// Version of the record that makes it accepted, and of that which lets it start.
+    /// Version of its record that makes it accepted; 0 if an earlier leader accepted it.
     pub accept_ver: u64,
+    /// Version of its record that lets its tasks start.
     pub start_ver: u64,
+    /// Version of its record that says that it is cancelled, 0 if other records say so already; `None` while it is not
+    /// cancelled.
     pub cancel_ver: Option<u64>,
     /// Version of the record that makes it final.
     pub final_ver: Option<u64>,
+    /// Finished tasks.
     pub done: TaskSet,
-    /// Finished tasks whose record is not safe yet, with the version that will make them so.
+    /// Finished tasks whose completion is not saved yet, with the version of the record that will save it.
     pub unsaved: HashMap<u32, u64>,
-    /// Tasks that are not done and on no machine.
+    /// Tasks that are not done and not assigned to any machine.
     pub waiting: TaskSet,
-    /// On how many machines a task may be.
+    /// For each task that may be on machines, the number of them.
     pub placement_counts: BTreeMap<u32, u32>,
-    /// Machines (by zone) that tasks of this job may be on.
+    /// Number of placements of its tasks in each zone, by zone index.
     pub placements_by_zone: Vec<u32>,
-    /// How many waiting tasks are routed to each pool.
+    /// Number of waiting tasks routed to each pool, by pool index.
     pub routed_by_pool: Vec<u32>,
+    /// Number of tasks that were last reported as running.
     pub running: u32,
-    /// A gang's current attempt, and whether it has started.
+    /// Attempt number that all members of a gang share; 0 if there is none.
     pub gang_attempt: u64,
+    /// Whether the gang's current attempt has started.
     pub gang_started: bool,
-    /// Machines on which tasks of it failed, and until when it pauses.
+    /// Number of failed tasks of this job on each machine.
     pub failed_on: HashMap<MachineId, u32>,
+    /// Number of failed tasks of this job.
     pub failures: u32,
-    /// The longest that any of them ran before, in milliseconds.
+    /// Longest run time of a failed task, in milliseconds.
     pub longest_failure: u64,
-    /// It is known to run: what fails of it is not its own mistake.
+    /// Whether the job is known to run, so that its failures are blamed on the machines.
     pub known_to_run: bool,
-    /// How often it has paused for failing everywhere, and until when it does.
+    /// How often it was backed off because its tasks failed on every machine; sets the length of the next backoff.
     pub backoff_count: u32,
+    /// No task of it is placed before this time.
     pub retry_at: u64,
+    /// Why it waits, as of the last placement pass or state change.
     pub wait_reason: WaitReason,
-    /// Within its team's guarantee, together with the team's earlier unfinished jobs, as of the last pass.
+    /// Whether it is within its team's guarantee, together with the team's earlier unfinished jobs, as of the last pass.
     pub guaranteed: bool,
-    /// Number and total run time of its finished tasks whose start was seen, and the longest.
+    /// Finished tasks whose start was seen: their number, total run time and longest run time in seconds.
     pub run_stats: (u32, f64, f64),
-    /// How many of its tasks were stopped to make room, and when its last waiting task was placed;
-    /// for the log.
+    /// Number of its tasks that were preempted; for the log.
     pub preempted: u32,
+    /// When a task of it was last placed; for the log and to estimate when it is done.
     pub placed_at: u64,
-    /// Since when it has waited for room, for preemption and reservations.
+    /// Since when it has waited for capacity, 0 if it does not; used by preemption and reservations.
     pub waiting_for_room_since: u64,
-    /// When it next looks for others to make room, after it found none.
+    /// Earliest time of the next search for tasks to preempt.
     pub next_preemption_at: u64,
 }
 
 impl Job {
-    pub fn new(spec: Arc<JobSpec>, body: Arc<JobBody>, at: u64, zones: usize, pools: usize) -> Job {
+    /// Creates a job accepted at `accepted_at_ms` (time of day), of which no task is done or placed.
+    pub fn new(
+        spec: Arc<JobSpec>,
+        body: Arc<JobBody>,
+        accepted_at_ms: u64,
+        zone_count: usize,
+        pool_count: usize,
+    ) -> Job {
         let waiting = TaskSet::all(spec.tasks);
         Job {
             spec,
             body,
-            accepted_at_ms: at,
+            accepted_at_ms,
             accepted_mono_ms: 0,
             eligible_mono_ms: 0,
-            eligible_at_ms: at,
+            eligible_at_ms: accepted_at_ms,
             pending_dependencies: BTreeSet::new(),
             dependency_parts: 0,
             outcome_unknown: false,
@@ -183,8 +240,8 @@
             unsaved: HashMap::new(),
             waiting,
             placement_counts: BTreeMap::new(),
-            placements_by_zone: vec![0; zones],
-            routed_by_pool: vec![0; pools],
+            placements_by_zone: vec![0; zone_count],
+            routed_by_pool: vec![0; pool_count],
             running: 0,
             gang_attempt: 0,
             gang_started: false,
@@ -204,27 +261,30 @@
         }
     }
 
+    /// Returns whether the job is cancelled, also if that is not saved yet.
     pub fn is_cancelled(&self) -> bool {
         self.cancel_ver.is_some()
     }
 
+    /// Returns whether every task has finished.
     pub fn is_all_done(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
 
-    /// Open: neither cancelled nor done.
+    /// Returns whether the job is neither cancelled nor done.
     pub fn is_open(&self) -> bool {
         !self.is_cancelled() && !self.is_all_done()
     }
 
-    /// Its tasks have failed on one machine after the other, and none is known to run: it is tried
-    /// one task at a time.
+    /// Returns whether its tasks have failed on two machines or three times, and none has finished or is known to run.
+    /// Such a job is tried one task at a time.
     pub fn is_failing(&self) -> bool {
         !self.known_to_run
             && self.done.is_empty()
             && (self.failed_on.len() >= 2 || self.failures >= 3)
     }
 
+    /// Returns the number of tasks that have not finished.
     pub fn remaining_tasks(&self) -> u32 {
         self.spec.tasks - self.done.len()
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,9 +1,9 @@
-//! What a leader knows, in parts with an owner each, and the `Cell` that holds them together.
+//! The state that a leader keeps in memory: separate parts, and `LeaderState`, which holds them together.
 //!
-//! Parts know nothing of one another beyond what they import: names, jobs and machines (`table`), what
-//! teams use (`teams`), which records are dirty or saved (`ledger`), links between jobs (`links`), run
-//! times (`rates`), rentals (`fleet`), what could
-//! not be read (`aside`). The slices act on the cell; nothing here imports a slice.
+//! A part depends on no other part beyond what it imports: `names`, jobs and machines (`table`), the
+//! resource usage of teams (`team_usage`), dirty and saved records (`write_queue`), dependencies between
+//! jobs (`dependencies`), run times of tasks (`run_times`), rentals (`fleet`), and records that could not
+//! be read (`unreadable`). The other modules of this crate act on `LeaderState`; nothing here imports them.
 
 pub mod dependencies;
 pub mod fairness_accounting;
