--- a/crates/core/src/state/dependencies.rs
+++ b/crates/core/src/state/dependencies.rs
@@ -1,4 +1,4 @@
-//! Which job waits for which, and what of it is still to be carried on.
+//! Dependencies between jobs, and the outcomes that have not been propagated to dependent jobs yet.
 
 use crate::state::job::Job;
 use crate::state::names::JobId;
@@ -6,45 +6,49 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Which job waits for which.
+/// Dependencies between jobs and the work that is left to propagate them.
 #[derive(Debug, Default)]
 pub struct Dependencies {
-    /// The jobs that need a job, by its id.
+    /// For each job, by its uid, the jobs that depend on it.
     pub(crate) dependents: BTreeMap<Arc<str>, Vec<JobId>>,
-    /// Jobs of which it is recorded that they are done, or else cancelled, while those that need
-    /// them have not been told yet.
+    /// Jobs that are recorded as done (`true`) or cancelled (`false`), whose outcome has not been propagated to their
+    /// dependents yet.
     pub(crate) unpropagated_outcomes: VecDeque<(Arc<str>, bool)>,
-    /// Jobs that are waited for and not open: how they ended has to be read after a takeover.
+    /// Jobs that others depend on and that are not in memory; after a takeover their final records have to be read.
     pub(crate) unread_outcomes: BTreeSet<Arc<str>>,
-    /// Jobs that get at least this priority and urgency.
+    /// Jobs whose effective priority and deadline (milliseconds on the steady clock) are to be raised to at least these.
     pub(crate) pending_raises: VecDeque<(Arc<str>, Priority, Option<i64>)>,
-    /// Jobs whose priority and urgency has to be worked out anew: one that needed them is no more.
+    /// Jobs whose effective priority and deadline have to be recomputed, because a job that depended on them is no
+    /// longer open or has become less urgent.
     pub(crate) pending_reviews: BTreeSet<Arc<str>>,
-    /// Cancelled with others, their ends still to be recorded. What is recorded already says so;
-    /// this only spares later leaders the work, and waits until others have little to write.
+    /// Jobs cancelled because of a dependency whose final records are not written yet. The records that exist imply
+    /// their end already; the final records only spare later leaders the work of deriving it, and are deferred until
+    /// few records are dirty.
     pub(crate) deferred_finals: VecDeque<JobId>,
-    /// What is listed in records of its own.
+    /// Dependencies that are listed in separate records, by uid of the dependent job and number of the record.
     pub(crate) parts: BTreeMap<(Arc<str>, u32), Vec<Arc<str>>>,
 }
 
 impl Dependencies {
-    /// Has everything that is recorded reached the jobs that wait?
+    /// Returns whether all recorded outcomes have been read and propagated to the dependent jobs.
     pub fn is_settled(&self) -> bool {
         self.unpropagated_outcomes.is_empty() && self.unread_outcomes.is_empty()
     }
 
+    /// Queues a job's outcome (done or else cancelled) for propagation, if any job depends on it.
     pub fn record_outcome(&mut self, uid: Arc<str>, done: bool) {
         if self.dependents.contains_key(&uid) {
             self.unpropagated_outcomes.push_back((uid, done));
         }
     }
 
-    /// Up to `n` jobs whose end has to be read.
+    /// Returns up to `n` jobs whose final records have to be read.
     pub fn next_unread_outcomes(&self, n: usize) -> Vec<Arc<str>> {
         self.unread_outcomes.iter().take(n).cloned().collect()
     }
 
-    /// A job's end was read; without one it is open under other settings, and waited for.
+    /// Records that a job's outcome was read. `None`: it has no final record, so it is open under other settings, or the
+    /// record is unreadable; its dependents go on waiting.
     pub fn resolve_outcome(&mut self, uid: &str, done: Option<bool>) {
         if let Some(uid) = self.unread_outcomes.take(uid)
             && let Some(done) = done
@@ -53,26 +57,29 @@
         }
     }
 
-    /// This job needs nobody any more.
+    /// Queues the dependencies of a job that no longer needs them for a review of their priority and deadline.
     pub fn queue_reviews(&mut self, job: &Job) {
         self.pending_reviews.extend(job.pending_dependencies.iter().cloned());
     }
 
+    /// Drops the separate dependency lists of a job.
     pub fn forget(&mut self, uid: &str) {
         self.parts.retain(|(job, _), _| &**job != uid);
     }
 
+    /// Returns the dependencies that the job lists in its separate record with this number.
     pub fn part(&self, uid: &Arc<str>, part: u32) -> Option<&Vec<Arc<str>>> {
         self.parts.get(&(uid.clone(), part))
     }
 
-    /// What a waiting job's own record lists.
+    /// Iterates over the dependencies that a blocked job lists in its own record, that is, in no separate one.
     pub fn inline_dependencies<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Arc<str>> {
         let parts = (0..job.dependency_parts).filter_map(|p| self.part(&job.spec.uid, p)).flatten();
         let elsewhere: BTreeSet<&Arc<str>> = parts.collect();
         job.pending_dependencies.iter().filter(move |uid| !elsewhere.contains(uid))
     }
 
+    /// Returns the number of jobs that depend on this one.
     pub fn dependent_count(&self, uid: &str) -> usize {
         self.dependents.get(uid).map_or(0, Vec::len)
     }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -1,26 +1,40 @@
-//! What the leader knows of the cloud: machine types, rentals under way, machines that boot or go
-//! back.
+//! The leader's view of the cloud: machine types, rentals in flight, booting machines and machines to be
+//! returned.
+//!
+//! Times are milliseconds on the leader's steady clock.
 
 use crate::records::RentalRecord;
 use crate::state::names::*;
 use copperhaven_wire::cloud::WireMachineType;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
+/// A machine type that the cloud offers.
 #[derive(Debug, Clone)]
 pub struct MachineType {
+    /// Name of the type in the cloud.
     pub label: String,
+    /// CPUs of a machine.
     pub cpus: f64,
+    /// GPUs of a machine.
     pub gpus: f64,
+    /// Memory of a machine in GB.
     pub mem_gb: f64,
+    /// Capacity of a machine's image cache in GB.
     pub cache_gb: f64,
+    /// Rate at which a machine pulls images, in GB per second; at least 0.001.
     pub fetch_gb_per_s: f64,
+    /// Price of an ordinary machine per hour.
     pub hourly: f64,
+    /// Price of a spot machine per hour.
     pub spot_hourly: f64,
+    /// Nominal boot time in seconds, between 0 and 3600.
     pub boot_s: f64,
+    /// Zones that offer the type.
     pub zones: Vec<ZoneId>,
 }
 
 impl MachineType {
+    /// Converts a machine type as sent by the cloud, clamping values that are out of range.
     pub fn from_wire(w: &WireMachineType, names: &mut Names) -> MachineType {
         MachineType {
             label: w.label.clone(),
@@ -36,71 +50,90 @@
         }
     }
 
+    /// Returns the price per hour of a spot or an ordinary machine.
     pub fn price(&self, spot: bool) -> f64 {
         if spot { self.spot_hourly } else { self.hourly }
     }
 }
 
-/// Type, zone, spot or not: what the cloud rents and refuses separately.
+/// Machine type, zone, and whether spot: the cloud grants and refuses rentals of each combination separately.
 pub type RentalKind = (TypeId, ZoneId, bool);
 
+/// A machine that the cloud has granted or listed and that has not reported yet.
 #[derive(Debug, Clone)]
 pub struct Booting {
+    /// Its machine type.
     pub machine_type: TypeId,
+    /// The zone that it is in.
     pub zone: ZoneId,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// When it was requested from the cloud.
     pub requested_at: u64,
     /// Since when this leader knows of it.
     pub(crate) known_since: u64,
-    /// When a list last showed it.
+    /// When a machine list of the cloud last contained it; 0 if none has yet.
     pub(crate) last_listed_at: u64,
+    /// Number of machine lists in a row that did not contain it.
     pub(crate) missed_lists: u32,
 }
 
+/// A rental that is recorded and to be requested from the cloud.
 #[derive(Debug, Clone)]
 pub struct Rental {
     pub(crate) kind: RentalKind,
+    /// Number of machines.
     pub(crate) number: u32,
+    /// Version of its record; it is not requested before this is saved.
     pub(crate) ver: u64,
+    /// Earliest time of the next request.
     pub(crate) retry_at: u64,
-    /// A call for it is under way.
+    /// Whether a request for it is in flight.
     pub(crate) in_flight: bool,
+    /// Whether the cloud has answered.
     pub(crate) resolved: bool,
 }
 
+/// The machines that the leader rents, expects and returns.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) term: u64,
+    /// Number of rentals created in this term; with the term it makes their names.
     pub(crate) counter: u64,
+    /// Machines that are booting, by name.
     pub booting: BTreeMap<String, Booting>,
+    /// Rentals without an answer of the cloud, by name.
     pub rentals: BTreeMap<String, Rental>,
-    /// After a refusal: until when, and how long the next pause is.
+    /// Backoff after a refused rental: until when, and the length of the next one in milliseconds.
     pub(crate) pauses: HashMap<RentalKind, (u64, u64)>,
-    /// Names to give back.
+    /// Names of machines to return to the cloud, with the reason for the log.
     pub(crate) pending_returns: BTreeMap<String, &'static str>,
+    /// Names of machines that the cloud has confirmed to be gone.
     pub(crate) gone: HashSet<String>,
-    /// How many machines the operators have given the service, apart from what it rents itself.
-    /// None until they were counted and recorded, before the very first rental.
+    /// Number of machines that the operators provide in addition to those that the service rents. `None` until they
+    /// are counted and recorded, which happens before the very first rental.
     pub provided_machines: Option<u32>,
-    /// Boots lately seen: when they ended and how long they took, in milliseconds.
+    /// Recent boots: when they finished, and how long they took in milliseconds.
     pub(crate) recent_boots: HashMap<(TypeId, ZoneId), VecDeque<(u64, u64)>>,
-    /// How many boots were overdue when that was last looked at; for the log.
+    /// Number of overdue boots at the last check; for the log.
     pub overdue_boots: usize,
-    /// Machines on which jobs that are soon ready were laid when rentals were last planned.
+    /// Machines that are kept for jobs which will soon be eligible, as of the last planning of rentals.
     pub(crate) retained_machines: HashSet<MachineId>,
-    /// By zone: since when nothing is heard from it, and when it was last tried nevertheless.
+    /// For each silent zone, since when it is silent and when it was last probed.
     pub(crate) silent_zones: HashMap<ZoneId, (u64, u64)>,
 }
 
-/// A place where boots are overdue counts as this much dearer.
+/// Factor on the price of a machine type in a zone where its boots are overdue.
 pub const OVERDUE_COST_FACTOR: f64 = 1.5;
 
-/// Boots that are remembered of each type and zone, and for how long.
-const BOOTS: usize = 8;
+/// Number of recent boots remembered for each machine type and zone.
+const MAX_RECENT_BOOTS: usize = 8;
 
-const BOOTS_MS: u64 = 300_000;
+/// Age beyond which a boot does not count as recent.
+const RECENT_BOOT_MAX_AGE_MS: u64 = 300_000;
 
 impl Fleet {
+    /// Creates the state of a leader that has not rented or listed anything yet.
     pub fn new(term: u64) -> Fleet {
         Fleet {
             term,
@@ -118,48 +151,54 @@
         }
     }
 
-    /// A machine reports: it boots no more. Since when it is paid for, if that is known.
+    /// Records that a machine has reported and so finished booting. Returns since when it is paid for, if known.
     pub fn finish_boot(&mut self, name: &str, now: u64) -> Option<u64> {
         let b = self.booting.remove(name)?;
-        let seen = self.recent_boots.entry((b.machine_type, b.zone)).or_default();
-        seen.push_back((now, now.saturating_sub(b.requested_at)));
-        if seen.len() > BOOTS {
-            seen.pop_front();
+        let recent = self.recent_boots.entry((b.machine_type, b.zone)).or_default();
+        recent.push_back((now, now.saturating_sub(b.requested_at)));
+        if recent.len() > MAX_RECENT_BOOTS {
+            recent.pop_front();
         }
         Some(b.requested_at)
     }
 
-    /// How long a boot may take before it is overdue: half as long again as the nominal time, or
-    /// as what was lately seen of this type in this zone, if that is longer.
+    /// Returns how long a boot may take before it is overdue: one and a half times the nominal time, or the mean of
+    /// recent boots of this type in this zone if that is longer (but at most five times the nominal time), plus a second.
     pub(crate) fn boot_deadline_ms(
         &self,
-        kind: TypeId,
+        machine_type: TypeId,
         zone: ZoneId,
         nominal_s: f64,
         now: u64,
     ) -> u64 {
         let nominal = (nominal_s * 1000.0) as u64;
-        let seen = self.recent_boots.get(&(kind, zone)).into_iter().flatten();
-        let lately = seen.filter(|(at, _)| now < at + BOOTS_MS).map(|(_, took)| *took);
-        let (n, sum) = lately.fold((0u64, 0u64), |(n, sum), took| (n + 1, sum + took));
-        let seen = sum.checked_div(n).unwrap_or(0);
-        nominal.max(seen.min(nominal * 5)) * 3 / 2 + 1000
+        let boots = self.recent_boots.get(&(machine_type, zone)).into_iter().flatten();
+        let recent = boots
+            .filter(|(finished_at, _)| now < finished_at + RECENT_BOOT_MAX_AGE_MS)
+            .map(|(_, took)| *took);
+        let (n, sum) = recent.fold((0u64, 0u64), |(n, sum), took| (n + 1, sum + took));
+        let mean = sum.checked_div(n).unwrap_or(0);
+        nominal.max(mean.min(nominal * 5)) * 3 / 2 + 1000
     }
 
-    /// Has the cloud confirmed that this machine is gone? Names are never used again.
+    /// Returns whether the cloud has confirmed that this machine is gone. Names are never reused.
     pub fn is_gone(&self, name: &str) -> bool {
         self.gone.contains(name)
     }
 
-    pub(crate) fn is_backing_off(&self, what: &RentalKind, now: u64) -> bool {
-        self.pauses.get(what).is_some_and(|(until, _)| now < *until)
+    /// Returns whether rentals of this kind wait because one was refused.
+    pub(crate) fn is_backing_off(&self, kind: &RentalKind, now: u64) -> bool {
+        self.pauses.get(kind).is_some_and(|(until, _)| now < *until)
     }
 
-    pub fn is_rentable(&self, kind: TypeId, zone: ZoneId, spot: bool, now: u64) -> bool {
-        !self.is_backing_off(&(kind, zone, false), now)
-            || (spot && !self.is_backing_off(&(kind, zone, true), now))
+    /// Returns whether a machine of this type may be rented in the zone now, as an ordinary machine or, if `spot`
+    /// allows it, as a spot machine.
+    pub fn is_rentable(&self, machine_type: TypeId, zone: ZoneId, spot: bool, now: u64) -> bool {
+        !self.is_backing_off(&(machine_type, zone, false), now)
+            || (spot && !self.is_backing_off(&(machine_type, zone, true), now))
     }
 
+    /// Returns the record of a rental; `None` if there is no such rental.
     pub fn rental_record(&self, name: &str, names: &Names) -> Option<RentalRecord> {
         let r = self.rentals.get(name)?;
         Some(RentalRecord {
@@ -170,16 +209,17 @@
         })
     }
 
-    /// A rental that an earlier leader may have asked for: asked again under the same name, it
-    /// gets the same answer.
-    pub fn restore_rental(&mut self, name: &str, what: RentalKind, number: u32) {
+    /// Adds a rental that an earlier leader may have requested already. It is requested again under the same name, to
+    /// which the cloud gives the same answer.
+    pub fn restore_rental(&mut self, name: &str, kind: RentalKind, number: u32) {
         let rental =
-            Rental { kind: what, number, ver: 0, retry_at: 0, in_flight: false, resolved: false };
+            Rental { kind, number, ver: 0, retry_at: 0, in_flight: false, resolved: false };
         self.rentals.insert(name.into(), rental);
     }
 
-    pub(crate) fn back_off(&mut self, what: RentalKind, now: u64) {
-        let pause = self.pauses.get(&what).map_or(8_000, |(_, next)| *next);
-        self.pauses.insert(what, (now + pause, (pause * 2).min(45_000)));
+    /// Delays rentals of this kind after a refusal, each time twice as long, from 8 s up to 45 s.
+    pub(crate) fn back_off(&mut self, kind: RentalKind, now: u64) {
+        let backoff_ms = self.pauses.get(&kind).map_or(8_000, |(_, next)| *next);
+        self.pauses.insert(kind, (now + backoff_ms, (backoff_ms * 2).min(45_000)));
     }
 }
