--- a/crates/core/src/state/dependencies.rs
+++ b/crates/core/src/state/dependencies.rs
@@ -16,7 +16,8 @@
     pub(crate) unpropagated_outcomes: VecDeque<(Arc<str>, bool)>,
     /// Jobs that others depend on and that are not in memory; after a takeover their final records have to be read.
     pub(crate) unread_outcomes: BTreeSet<Arc<str>>,
-    /// Jobs whose effective priority and deadline (milliseconds on the steady clock) are to be raised to at least these.
+    /// Jobs whose effective priority and deadline (milliseconds on the steady clock) are to be raised to at least
+    /// these.
     pub(crate) pending_raises: VecDeque<(Arc<str>, Priority, Option<i64>)>,
     /// Jobs whose effective priority and deadline have to be recomputed, because a job that depended on them is no
     /// longer open or has become less urgent.
@@ -47,8 +48,8 @@
         self.unread_outcomes.iter().take(n).cloned().collect()
     }
 
-    /// Records that a job's outcome was read. `None`: it has no final record, so it is open under other settings, or the
-    /// record is unreadable; its dependents go on waiting.
+    /// Records that a job's outcome was read. `None`: it has no final record, so it is open under other settings, or
+    /// the record is unreadable; its dependents go on waiting.
     pub fn resolve_outcome(&mut self, uid: &str, done: Option<bool>) {
         if let Some(uid) = self.unread_outcomes.take(uid)
             && let Some(done) = done
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -195,7 +195,8 @@
     pub retry_at: u64,
     /// Why it waits, as of the last placement pass or state change.
     pub wait_reason: WaitReason,
-    /// Whether it is within its team's guarantee, together with the team's earlier unfinished jobs, as of the last pass.
+    /// Whether it is within its team's guarantee, together with the team's earlier unfinished jobs, as of the last
+    /// placement pass.
     pub guaranteed: bool,
     /// Finished tasks whose start was seen: their number, total run time and longest run time in seconds.
     pub run_stats: (u32, f64, f64),
