--- a/crates/core/src/state/job_sizes.rs
+++ b/crates/core/src/state/job_sizes.rs
@@ -1,37 +1,40 @@
-//! How large the jobs of a class are: which of them are its largest.
+//! The sizes of recent jobs of each class, and the size from which a job is among the largest of its class.
 
 use crate::state::names::ClassId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// So many of the last jobs of a class are looked back on.
-const LAST: usize = 200;
+/// Number of recent jobs of each class whose sizes are remembered.
+const MAX_RECENT_JOBS: usize = 200;
 
-/// The largest are one of so many.
-const PART: usize = 10;
+/// One of this many jobs counts as large.
+const JOBS_PER_LARGE_JOB: usize = 10;
 
+/// The number of tasks of recent jobs, by class.
 #[derive(Debug, Default)]
 pub struct JobSizes {
-    last: BTreeMap<ClassId, VecDeque<u32>>,
-    /// From which number of tasks on a job is among the largest.
-    bounds: BTreeMap<ClassId, u32>,
+    recent: BTreeMap<ClassId, VecDeque<u32>>,
+    /// A job with more tasks than this is among the largest of its class.
+    thresholds: BTreeMap<ClassId, u32>,
 }
 
 impl JobSizes {
+    /// Records the number of tasks of a new job of this class.
     pub fn add_job(&mut self, class: ClassId, tasks: u32) {
-        let last = self.last.entry(class).or_default();
-        last.push_back(tasks);
-        if last.len() > LAST {
-            last.pop_front();
+        let recent = self.recent.entry(class).or_default();
+        recent.push_back(tasks);
+        if recent.len() > MAX_RECENT_JOBS {
+            recent.pop_front();
         }
-        let mut sorted: Vec<u32> = last.iter().copied().collect();
-        let at = sorted.len() - 1 - sorted.len() / PART;
-        let (_, bound, _) = sorted.select_nth_unstable(at);
-        self.bounds.insert(class, *bound);
+        let mut sizes: Vec<u32> = recent.iter().copied().collect();
+        let rank = sizes.len() - 1 - sizes.len() / JOBS_PER_LARGE_JOB;
+        let (_, threshold, _) = sizes.select_nth_unstable(rank);
+        self.thresholds.insert(class, *threshold);
     }
 
-    /// Is a job of so many tasks among the largest tenth of its class? Not where all are alike.
+    /// Returns whether a job of so many tasks is among the largest tenth of its class. Where all recent jobs have the
+    /// same size, none of that size is.
     pub fn is_large(&self, class: ClassId, tasks: u32) -> bool {
-        self.bounds.get(&class).is_some_and(|bound| tasks > *bound)
+        self.thresholds.get(&class).is_some_and(|threshold| tasks > *threshold)
     }
 }
 
@@ -40,15 +43,18 @@
     use super::*;
 
     #[test]
-    fn the_largest_tenth_of_the_last_jobs() {
-        let mut s = JobSizes::default();
+    fn largest_tenth_of_recent_jobs_is_large() {
+        let mut sizes = JobSizes::default();
         let (a, b) = (ClassId::from(0), ClassId::from(1));
-        assert!(!s.is_large(a, 1000), "nothing is known of it");
-        (1..=100).for_each(|n| s.add_job(a, n));
-        (1..=30).for_each(|_| s.add_job(b, 6));
-        assert_eq!((s.is_large(a, 90), s.is_large(a, 91), s.is_large(b, 6)), (false, true, false));
-        // What was long ago counts no more.
-        (0..200).for_each(|_| s.add_job(a, 3));
-        assert!(s.is_large(a, 4));
+        assert!(!sizes.is_large(a, 1000), "no job of the class was seen");
+        (1..=100).for_each(|n| sizes.add_job(a, n));
+        (1..=30).for_each(|_| sizes.add_job(b, 6));
+        assert_eq!(
+            (sizes.is_large(a, 90), sizes.is_large(a, 91), sizes.is_large(b, 6)),
+            (false, true, false)
+        );
+        // Jobs before the last 200 no longer count.
+        (0..200).for_each(|_| sizes.add_job(a, 3));
+        assert!(sizes.is_large(a, 4));
     }
 }
--- a/crates/core/src/state/names.rs
+++ b/crates/core/src/state/names.rs
@@ -1,4 +1,5 @@
-//! Names are mapped to dense indices at the door; inside, only the indices travel.
+//! Dense indices for names. Names are replaced by indices where they enter the leader; its state and decisions use only
+//! the indices.
 
 use crate::settings::Settings;
 use std::collections::HashMap;
@@ -8,11 +9,15 @@
     ($($(#[$doc:meta])* $name:ident),*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        pub struct $name(pub u32);
+        pub struct $name(
+            /// The index.
+            pub u32,
+        );
         impl From<usize> for $name {
             fn from(i: usize) -> Self { $name(i as u32) }
         }
         impl $name {
+            /// Returns the index for use in vectors.
             pub fn index(self) -> usize { self.0 as usize }
         }
     )*};
@@ -23,7 +28,7 @@
     TeamId,
     /// A zone of the deployment.
     ZoneId,
-    /// A machine type.
+    /// A machine type; also its index in `LeaderState::machine_types`.
     TypeId,
     /// A class of jobs.
     ClassId,
@@ -35,7 +40,7 @@
     MachineId
 );
 
-/// Gives each name the next free index and keeps both directions.
+/// Assigns each new name the next free index and maps names to indices and back.
 #[derive(Debug)]
 pub struct Interner<I> {
     names: Vec<Arc<str>>,
@@ -49,10 +54,12 @@
 }
 
 impl<I: Copy + From<usize>> Interner<I> {
+    /// Returns the index of a name; `None` if the name is unknown.
     pub fn get(&self, name: &str) -> Option<I> {
         self.index.get(name).copied()
     }
 
+    /// Returns the index of a name, assigning one if the name is new.
     pub fn intern(&mut self, name: &str) -> I {
         if let Some(i) = self.get(name) {
             return i;
@@ -64,30 +71,39 @@
         i
     }
 
-    pub fn name(&self, ix: usize) -> &str {
-        self.names.get(ix).map_or("?", |n| n)
+    /// Returns the name with this index, or `?` if there is none.
+    pub fn name(&self, index: usize) -> &str {
+        self.names.get(index).map_or("?", |n| n)
     }
 
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
+    /// Returns whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 }
 
-/// Every name that the service has met.
+/// The names known to a leader. They are never removed.
 #[derive(Debug, Default)]
 pub struct Names {
+    /// Teams, in the order of the settings.
     pub teams: Interner<TeamId>,
+    /// Zones: those of the settings in their order, then others that the cloud names.
     pub zones: Interner<ZoneId>,
+    /// Labels of machine types.
     pub types: Interner<TypeId>,
+    /// Classes of jobs.
     pub classes: Interner<ClassId>,
+    /// Images of tasks.
     pub images: Interner<ImageId>,
 }
 
 impl Names {
+    /// Creates the names with the teams and zones of the settings.
     pub fn new(settings: &Settings) -> Names {
         let mut names = Names::default();
         for t in &settings.deployment.teams {
@@ -105,7 +121,7 @@
     use super::*;
 
     #[test]
-    fn same_name_same_index() {
+    fn interning_a_name_again_returns_its_index() {
         let mut names: Interner<TeamId> = Interner::default();
         let a = names.intern("a");
         assert_eq!(names.intern("b"), TeamId(1));
--- a/crates/core/src/state/task_set.rs
+++ b/crates/core/src/state/task_set.rs
@@ -1,59 +1,64 @@
-//! Sets of a job's tasks, by number. A job may have 100,000 of them, most in long runs: kept as compressed
-//! bitmaps (roaring), a few KB each at most.
+//! Sets of a job's tasks, by task index. A job may have 100,000 tasks, and the sets consist mostly of long
+//! runs: they are stored as compressed bitmaps (roaring) of a few KB each at most.
 
 use roaring::RoaringBitmap;
 
+/// A set of task indices.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TaskSet(RoaringBitmap);
 
 impl TaskSet {
-    /// Tasks 0 to `tasks` - 1.
+    /// Creates the set of the tasks 0 to `tasks` - 1.
     pub fn all(tasks: u32) -> TaskSet {
         let mut set = RoaringBitmap::new();
         set.insert_range(0..tasks);
-        // Kept as runs until single tasks leave.
+        // Stored as runs until single tasks are removed.
         set.optimize();
         TaskSet(set)
     }
 
-    /// False: it was there already.
+    /// Adds a task. Returns whether it was not in the set before.
     pub fn insert(&mut self, task: u32) -> bool {
         self.0.insert(task)
     }
 
-    /// False: it was not there.
+    /// Removes a task. Returns whether it was in the set.
     pub fn remove(&mut self, task: u32) -> bool {
         self.0.remove(task)
     }
 
+    /// Returns whether the task is in the set.
     pub fn contains(&self, task: u32) -> bool {
         self.0.contains(task)
     }
 
+    /// Removes all tasks.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u32 {
-        // Numbers of tasks are far below 2^32.
+        // A job has far fewer than 2^32 tasks.
         self.0.len() as u32
     }
 
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// In order.
+    /// Iterates over the tasks in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter()
     }
 
-    /// The `n` lowest.
+    /// Returns the `n` lowest tasks in ascending order.
     pub fn first(&self, n: u32) -> Vec<u32> {
         self.0.iter().take(n as usize).collect()
     }
 
-    /// Those of the `n` numbers from `from`, in order.
+    /// Iterates over the tasks among the `n` indices from `from` on, in ascending order.
     pub fn range(&self, from: u32, n: u32) -> impl Iterator<Item = u32> + '_ {
         self.0.range(from..from.saturating_add(n))
     }
@@ -67,13 +72,13 @@
     use std::collections::BTreeSet;
 
     #[test]
-    fn the_same_as_a_plain_set_whatever_comes_and_goes() {
+    fn behaves_like_a_btree_set_under_random_changes() {
         for seed in 0..20 {
             let mut rng = StdRng::seed_from_u64(seed);
             let tasks = [1, 3, 1024, 5000, 100_000][rng.random_range(0..5)];
             let (mut set, mut plain) = (TaskSet::all(tasks), (0..tasks).collect::<BTreeSet<u32>>());
             for _ in 0..3000 {
-                // Mostly in runs, as tasks start and end.
+                // Changes come in short runs of neighbours, as tasks start and end.
                 let from = rng.random_range(0..tasks);
                 for task in from..(from + rng.random_range(1..5)).min(tasks) {
                     if rng.random_bool(0.5) {
