--- a/crates/core/src/state/fairness_accounting.rs
+++ b/crates/core/src/state/fairness_accounting.rs
@@ -28,8 +28,8 @@
 }
 
 /// Returns the snapshots of the fairness ledger that are recorded, in parts of at most `max_bytes`, the limit of a
-/// stored value. If `MAX_FAIRNESS_PARTS` parts don't hold all of them, those pairs of team and class are left out that
-/// were served least recently.
+/// stored value. If `MAX_FAIRNESS_PARTS` parts don't hold all of them, the pairs of team and class with the least
+/// service in recent time are left out.
 pub fn record_parts(
     ledger: &FairnessLedger,
     names: &Names,
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -162,8 +162,9 @@
         Some(b.requested_at)
     }
 
-    /// Returns how long a boot may take before it is overdue: a second plus one and a half times the nominal time, or the
-    /// mean of recent boots of this type in this zone if that is longer (but at most five times the nominal time).
+    /// Returns how long a boot may take before it is overdue, in milliseconds: one and a half times the nominal time
+    /// plus a second. If the mean of recent boots of this type in this zone is longer than the nominal time, it takes
+    /// its place, up to five times the nominal time.
     pub(crate) fn boot_deadline_ms(
         &self,
         machine_type: TypeId,
--- a/crates/core/src/state/run_times.rs
+++ b/crates/core/src/state/run_times.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns the expected run time of a task in seconds: the mean of its class in this pool, else in all pools, else
-    /// the job's own estimate, and at least 0.1 s. Without any of them, a minute.
+    /// the job's own estimate, and at least 0.1 s. If that is not positive, a minute.
     pub fn expected_run_s(&self, pool: usize, class: ClassId, estimate: f64) -> f64 {
         let pool = self.by_pool.get(pool).and_then(|p| p.get(&class));
         let mean = pool.or_else(|| self.by_class.get(&class)).map(|(_, mean)| *mean);
