--- a/crates/core/src/workers/completion.rs
+++ b/crates/core/src/workers/completion.rs
@@ -1,4 +1,4 @@
-//! Tasks that are done, and jobs that are cancelled.
+//! Completion of tasks and cancellation of jobs.
 
 use crate::state::fairness_accounting;
 use crate::state::job::DONE_CHUNK_TASKS;
@@ -9,7 +9,7 @@
 use copperhaven_wire::jobs::JobKind;
 
 impl LeaderState {
-    /// Cancels; no task of the job is started from here on, and all of them are stopped.
+    /// Cancels an open job: stops all its tasks and starts no more of them.
     pub fn cancel(&mut self, id: JobId, now: u64) {
         let Some(job) = self.jobs.get(&id) else { return };
         if !job.is_open() {
@@ -19,8 +19,8 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.cancel_ver = Some(ver);
             job.waiting.clear();
-            let at = job.eligible_at_ms;
-            self.queue.remove(&(at, id));
+            let eligible_at_ms = job.eligible_at_ms;
+            self.queue.remove(&(eligible_at_ms, id));
             self.fairness_ledger.job_cancelled(
                 fairness_accounting::fairness_job(id),
                 fairness_accounting::fairness_pair(&job.spec),
@@ -31,7 +31,7 @@
         self.finalize_if_over(id);
     }
 
-    /// Marks a task done; its record follows.
+    /// Marks a task done, and its record dirty.
     pub fn mark_task_done(&mut self, id: JobId, task: u32) {
         let chunk = task / DONE_CHUNK_TASKS;
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -39,23 +39,29 @@
             return;
         }
         job.waiting.remove(task);
-        let proves = !job.known_to_run && job.failures > 0;
-        // A newer attempt, if one is on its way, has nothing left to do. Found in drawn scenes: of a gang it was never sent,
-        // since the job was over, and its place used the limit of its team for as long as the leader led.
-        let again = job.spec.kind != JobKind::Service && job.placement_counts.contains_key(&task);
+        let shows_job_runs = !job.known_to_run && job.failures > 0;
+        // A newer attempt that is already placed is stopped. In randomized tests, the `run` of such an attempt of a gang was
+        // never sent because the job was finished, and its assignment counted towards the team's limit until the leader's
+        // term ended.
+        let is_placed_again =
+            job.spec.kind != JobKind::Service && job.placement_counts.contains_key(&task);
         let ver = self.mark_dirty(RecordKey::DoneChunk(id, chunk));
         if let Some(job) = self.jobs.get_mut(&id) {
             job.unsaved.insert(task, ver);
         }
-        if proves {
-            self.mark_proven(id, self.took_over_at);
+        if shows_job_runs {
+            self.mark_known_to_run(id, self.took_over_at);
         }
-        if again {
-            let on = |m: &Machine| m.assignments.contains_key(&(id, task));
-            let found: Vec<MachineId> =
-                self.machines.iter().filter(|(_, m)| on(m)).map(|(mid, _)| *mid).collect();
-            for mid in found {
-                self.stop_task(mid, id, task, self.took_over_at, 0.0);
+        if is_placed_again {
+            let holds_task = |machine: &Machine| machine.assignments.contains_key(&(id, task));
+            let holders: Vec<MachineId> = self
+                .machines
+                .iter()
+                .filter(|(_, machine)| holds_task(machine))
+                .map(|(machine_id, _)| *machine_id)
+                .collect();
+            for machine_id in holders {
+                self.stop_task(machine_id, id, task, self.took_over_at, 0.0);
             }
         }
         self.finalize_if_over(id);
--- a/crates/core/src/workers/orders.rs
+++ b/crates/core/src/workers/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that go with the response to a report.
+//! Orders for a worker, sent in the response to its report.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::ObservedState;
@@ -8,85 +8,103 @@
 use copperhaven_wire::workers::{Order, Orders};
 
 impl LeaderState {
-    /// Is every `run` that this machine waits for safe to send? A `forget` is not waited for: it
-    /// goes with a later response, once its record is safe.
-    pub fn can_send_orders(&self, mid: MachineId) -> bool {
-        let Some(m) = self.machines.get(&mid) else { return true };
-        let key = RecordKey::Machine(mid);
-        m.assignments
-            .values()
-            .all(|e| e.run_sent_with.is_some() || e.unconfirmed || self.is_saved(&key, e.ver))
+    /// Returns whether the record of every unsent `run` for this machine is saved, so that the
+    /// response need not wait. A `forget` is not waited for: it goes with a later response, once
+    /// its record is saved.
+    pub fn can_send_orders(&self, machine_id: MachineId) -> bool {
+        let Some(machine) = self.machines.get(&machine_id) else { return true };
+        let key = RecordKey::Machine(machine_id);
+        machine.assignments.values().all(|assignment| {
+            assignment.run_sent_with.is_some()
+                || assignment.unconfirmed
+                || self.is_saved(&key, assignment.ver)
+        })
     }
 
-    pub(crate) fn finished(&self, id: JobId, task: u32) -> bool {
-        self.jobs.get(&id).is_none_or(|j| {
-            j.is_cancelled() || j.spec.kind == JobKind::Service || self.is_done_saved(id, task)
+    /// Returns whether the worker may forget a task that is done: its job is cancelled, a service
+    /// or no longer in memory, or the task is recorded as done.
+    pub(crate) fn can_forget_result(&self, id: JobId, task: u32) -> bool {
+        self.jobs.get(&id).is_none_or(|job| {
+            job.is_cancelled() || job.spec.kind == JobKind::Service || self.is_done_saved(id, task)
         })
     }
 
-    /// The orders for a machine, in the response to its report `at`. None if a newer report has
-    /// come in since: its response is the one that counts.
+    /// Returns the orders for the response to the report with this session and sequence, and
+    /// records which `run`s were sent. None if a newer report has arrived: the orders go with the
+    /// response to that one. New tasks are started only if `can_start_tasks` is set.
     pub fn issue_orders(
         &mut self,
-        mid: MachineId,
-        at: (u64, u64),
+        machine_id: MachineId,
+        report_key: (u64, u64),
         now: u64,
-        lead: bool,
+        can_start_tasks: bool,
     ) -> Option<Orders> {
-        const MOST: usize = 300;
-        let sign = if self.machines.get(&mid)?.last_report == at {
-            self.delivery_probe(mid)
+        const MAX_ORDERS: usize = 300;
+        let delivery_probe = if self.machines.get(&machine_id)?.last_report == report_key {
+            self.delivery_probe(machine_id)
         } else {
             None
         };
-        let key = RecordKey::Machine(mid);
-        let m = self.machines.get(&mid)?;
-        if m.last_report != at {
+        let key = RecordKey::Machine(machine_id);
+        let machine = self.machines.get(&machine_id)?;
+        if machine.last_report != report_key {
             return None;
         }
         let mut orders = Vec::new();
-        for x in &m.ended_tasks {
-            let aside = |p: &str| {
-                p.split('/').next().is_some_and(|uid| self.unreadable.job_reason(uid).is_some())
+        for ended in &machine.ended_tasks {
+            let belongs_to_unreadable_job = |task_id: &str| {
+                task_id
+                    .split('/')
+                    .next()
+                    .is_some_and(|uid| self.unreadable.job_reason(uid).is_some())
             };
-            // What a job that is set aside has done is kept until its record is mended.
-            if !x.done || x.id.map_or(!aside(&x.task_id), |id| self.finished(id, x.task)) {
-                orders.push(Order::Forget { task_id: x.task_id.clone(), attempt: x.attempt });
+            // Results of an unreadable job are kept until its record is repaired.
+            if !ended.done
+                || ended.id.map_or(!belongs_to_unreadable_job(&ended.task_id), |id| {
+                    self.can_forget_result(id, ended.task)
+                })
+            {
+                orders
+                    .push(Order::Forget { task_id: ended.task_id.clone(), attempt: ended.attempt });
             }
         }
-        for (parcel, attempt) in &m.orphan_tasks {
-            let parcel = parcel.clone();
-            orders.push(Order::Halt { task_id: parcel, attempt: *attempt, grace_s: 0.0 });
+        for (task_id, attempt) in &machine.orphan_tasks {
+            let task_id = task_id.clone();
+            orders.push(Order::Halt { task_id, attempt: *attempt, grace_s: 0.0 });
         }
-        orders.truncate(MOST);
-        orders.extend(sign);
+        orders.truncate(MAX_ORDERS);
+        orders.extend(delivery_probe);
         let mut runs = Vec::new();
-        for ((id, task), e) in &m.assignments {
-            if orders.len() + runs.len() >= MOST {
+        for ((id, task), assignment) in &machine.assignments {
+            if orders.len() + runs.len() >= MAX_ORDERS {
                 break;
             }
-            let parcel = self.task_id(*id, *task);
-            if let Some((_, grace)) = e.stop_requested {
-                orders.push(Order::Halt { task_id: parcel, attempt: e.attempt, grace_s: grace });
-            } else if e.observed == ObservedState::NotReported && !e.unconfirmed && lead && m.fenced
+            let task_id = self.task_id(*id, *task);
+            if let Some((_, grace_s)) = assignment.stop_requested {
+                orders.push(Order::Halt { task_id, attempt: assignment.attempt, grace_s });
+            } else if assignment.observed == ObservedState::NotReported
+                && !assignment.unconfirmed
+                && can_start_tasks
+                && machine.fenced
             {
-                let open = self.jobs.get(id).is_some_and(|j| j.is_open());
-                let session = e.run_sent_with.is_none_or(|m| m.0 == at.0);
-                if open && session && self.is_saved(&key, e.ver) {
-                    runs.push((*id, *task, Order::Run { task_id: parcel, attempt: e.attempt }));
+                let is_open = self.jobs.get(id).is_some_and(|job| job.is_open());
+                let same_session =
+                    assignment.run_sent_with.is_none_or(|sent| sent.0 == report_key.0);
+                if is_open && same_session && self.is_saved(&key, assignment.ver) {
+                    runs.push((*id, *task, Order::Run { task_id, attempt: assignment.attempt }));
                 }
             }
         }
-        let m = self.machines.get_mut(&mid)?;
+        let machine = self.machines.get_mut(&machine_id)?;
         for (id, task, order) in runs {
-            if let Some(e) = m.assignments.get_mut(&(id, task)) {
-                e.run_sent_with = Some(at);
+            if let Some(assignment) = machine.assignments.get_mut(&(id, task)) {
+                assignment.run_sent_with = Some(report_key);
             }
             orders.push(order);
         }
-        m.last_answered_at = now.max(m.last_report_at);
-        m.last_ordered_report = at;
-        m.response_tracker.record_response(at.0, &orders, m.fenced);
+        machine.last_answered_at = now.max(machine.last_report_at);
+        machine.last_ordered_report = report_key;
+        machine.response_tracker.record_response(report_key.0, &orders, machine.fenced);
         Some(Orders { term: self.term, orders })
     }
 }
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -1,5 +1,5 @@
-//! The first report of this term from a machine, held against what is on record of it: counted by what was met
-//! (`copperhaven_recovery::square`). What follows is done where reports are taken in.
+//! Reconciliation of a machine's first report of this term with its record. The differences are only counted here, by
+//! outcome (`copperhaven_recovery::reconcile`); `on_report` acts on them.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
@@ -12,53 +12,58 @@
 use std::collections::BTreeMap;
 
 impl LeaderState {
-    pub(super) fn reconcile_first_report(&mut self, mid: MachineId, r: &Report, now: u64) {
-        self.recovery.machine_reported(Machine(mid.0), now);
-        let Some(m) = self.machines.get(&mid) else { return };
+    /// Compares the first report of this term from a machine with its record, and counts the outcomes.
+    pub(super) fn reconcile_first_report(
+        &mut self,
+        machine_id: MachineId,
+        report: &Report,
+        now: u64,
+    ) {
+        self.recovery.machine_reported(Machine(machine_id.0), now);
+        let Some(machine) = self.machines.get(&machine_id) else { return };
         let mut tasks: BTreeMap<(Option<JobId>, &str, u32), TaskComparison> = BTreeMap::new();
-        // Nothing was put there before its first report under this term: all of it is from records, also what an earlier
-        // report, by a worker that had not seen the term, has spoken for already. (Found on a deployment whose workers
-        // report every 8 s: most tasks were counted as not on record.)
-        for ((id, task), e) in &m.assignments {
+        // No task is placed on a machine before its first report of this term, so all its assignments come from records.
+        // This includes assignments that a report of an earlier term has already confirmed: where workers reported every
+        // 8 s, leaving these out counted most tasks as not on record.
+        for ((id, task), assignment) in &machine.assignments {
             let Some(job) = self.jobs.get(id) else { continue };
-            let (open, done) = (job.is_open(), job.done.contains(*task));
-            let pair = TaskComparison {
-                recorded: Some(e.attempt),
+            let (job_open, recorded_done) = (job.is_open(), job.done.contains(*task));
+            let comparison = TaskComparison {
+                recorded: Some(assignment.attempt),
                 reported: None,
-                job_open: open,
-                recorded_done: done,
+                job_open,
+                recorded_done,
             };
-            tasks.insert((Some(*id), "", *task), pair);
+            tasks.insert((Some(*id), "", *task), comparison);
         }
-        for p in &r.tasks {
-            let Some((uid, task)) = parse_task_id(&p.task_id) else { continue };
-            let state = match (p.status.as_str(), p.cause.as_deref()) {
+        for task_report in &report.tasks {
+            let Some((uid, task)) = parse_task_id(&task_report.task_id) else { continue };
+            let state = match (task_report.status.as_str(), task_report.cause.as_deref()) {
                 ("ended", Some("done")) => ReportedState::Done,
                 ("ended", _) => ReportedState::Ended,
                 _ => ReportedState::Present,
             };
-            let reported = Some(ReportedTask { attempt: p.attempt, state });
-            let known = self.job(uid);
-            let open = known.is_some_and(|(_, job)| job.is_open());
-            let done = known.is_some_and(|(_, job)| job.done.contains(task));
-            let key = (known.map(|(id, _)| id), if known.is_none() { uid } else { "" }, task);
-            let none = TaskComparison {
-                recorded: None,
-                reported: None,
-                job_open: open,
-                recorded_done: done,
-            };
-            tasks.entry(key).or_insert(none).reported = reported;
+            let reported = Some(ReportedTask { attempt: task_report.attempt, state });
+            let found = self.job(uid);
+            let job_open = found.is_some_and(|(_, job)| job.is_open());
+            let recorded_done = found.is_some_and(|(_, job)| job.done.contains(task));
+            let key = (found.map(|(id, _)| id), if found.is_none() { uid } else { "" }, task);
+            let unrecorded =
+                TaskComparison { recorded: None, reported: None, job_open, recorded_done };
+            tasks.entry(key).or_insert(unrecorded).reported = reported;
         }
-        for row in tasks.into_values().filter_map(reconcile) {
-            self.reconciliation.add(row, 1);
+        for outcome in tasks.into_values().filter_map(reconcile) {
+            self.reconciliation.add(outcome, 1);
         }
     }
 
-    /// The bound of hearing is over, or all were heard: what is still not heard is counted as that.
+    /// Counts the recorded tasks of all machines that have not reported in this term. Called once all
+    /// machines have reported or the time for it is over.
     pub fn close_reconciliation(&mut self) {
-        let inherited = |m: &crate::state::machine::Machine| m.assignments.len() as u64;
-        let unheard = self.machines.values().filter(|m| !m.fenced).map(inherited).sum();
-        self.reconciliation.add(ReconcileOutcome::MachineUnreported, unheard);
+        let recorded_tasks =
+            |machine: &crate::state::machine::Machine| machine.assignments.len() as u64;
+        let unreported =
+            self.machines.values().filter(|machine| !machine.fenced).map(recorded_tasks).sum();
+        self.reconciliation.add(ReconcileOutcome::MachineUnreported, unreported);
     }
 }
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -1,4 +1,4 @@
-//! Stopping tasks, and tasks that are gone without being done.
+//! Stopping of tasks, and handling of tasks that left their machine without being done.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::{DirectRequest, ObservedState};
@@ -8,66 +8,89 @@
 use std::collections::BTreeSet;
 
 impl LeaderState {
-    pub fn stop_task(&mut self, mid: MachineId, id: JobId, task: u32, now: u64, grace: f64) {
-        let parcel = self.task_id(id, task);
-        let Some(e) = self.machines.get(&mid).and_then(|m| m.assignments.get(&(id, task))) else {
+    /// Requests the stop of a task on a machine, with a grace period in seconds. A shorter grace
+    /// period replaces a longer one. The `halt` is sent directly to the worker, and with every
+    /// response to its reports until the task is gone.
+    pub fn stop_task(
+        &mut self,
+        machine_id: MachineId,
+        id: JobId,
+        task: u32,
+        now: u64,
+        grace_s: f64,
+    ) {
+        let task_id = self.task_id(id, task);
+        let Some(assignment) =
+            self.machines.get(&machine_id).and_then(|machine| machine.assignments.get(&(id, task)))
+        else {
             return;
         };
-        if e.run_sent_with.is_none() && e.observed == ObservedState::NotReported && !e.unconfirmed {
-            // Its `run` was never sent: taking it off the list is enough.
-            self.detach(mid, id, task);
+        if assignment.run_sent_with.is_none()
+            && assignment.observed == ObservedState::NotReported
+            && !assignment.unconfirmed
+        {
+            // Its `run` was never sent, so removing the assignment is enough.
+            self.detach(machine_id, id, task);
             return;
         }
-        let attempt = e.attempt;
-        let Some(m) = self.machines.get_mut(&mid) else { return };
-        if let Some(e) = m.assignments.get_mut(&(id, task)) {
-            if e.stop_requested.is_some_and(|(_, g)| g <= grace) {
+        let attempt = assignment.attempt;
+        let Some(machine) = self.machines.get_mut(&machine_id) else { return };
+        if let Some(assignment) = machine.assignments.get_mut(&(id, task)) {
+            if assignment
+                .stop_requested
+                .is_some_and(|(_, requested_grace_s)| requested_grace_s <= grace_s)
+            {
                 return;
             }
-            if e.stop_requested.replace((now, grace)).is_none()
+            if assignment.stop_requested.replace((now, grace_s)).is_none()
                 && let Some(job) = self.jobs.get(&id)
             {
                 self.team_usage.add_stopping(&job.spec);
             }
         }
-        let order = Order::Halt { task_id: parcel, attempt, grace_s: grace };
-        let (addr, shift) = (m.addr.clone(), m.last_report.0);
-        match self.direct_requests.iter_mut().find(|d| d.addr == addr && d.session == shift) {
-            Some(d) => d.orders.push(order),
+        let order = Order::Halt { task_id, attempt, grace_s };
+        let (addr, session) = (machine.addr.clone(), machine.last_report.0);
+        match self
+            .direct_requests
+            .iter_mut()
+            .find(|request| request.addr == addr && request.session == session)
+        {
+            Some(request) => request.orders.push(order),
             None => {
-                let machine = Some(mid);
+                let machine = Some(machine_id);
                 self.direct_requests.push(DirectRequest {
                     machine,
                     addr,
-                    session: shift,
+                    session,
                     orders: vec![order],
                 });
             }
         }
     }
 
-    /// Stops every task of a job, all at once.
-    pub fn stop_all_tasks(&mut self, id: JobId, now: u64, grace: f64) {
+    /// Stops all tasks of a job, with a grace period in seconds.
+    pub fn stop_all_tasks(&mut self, id: JobId, now: u64, grace_s: f64) {
         let places: Vec<(MachineId, u32)> = match self.jobs.get(&id) {
             Some(job) if !job.placement_counts.is_empty() => self
                 .machines
                 .iter()
-                .flat_map(|(mid, m)| {
-                    m.assignments
+                .flat_map(|(machine_id, machine)| {
+                    machine
+                        .assignments
                         .range((id, 0)..=(id, u32::MAX))
-                        .map(|((_, task), _)| (*mid, *task))
+                        .map(|((_, task), _)| (*machine_id, *task))
                 })
                 .collect(),
             _ => return,
         };
-        for (mid, task) in places {
-            self.stop_task(mid, id, task, now, grace);
+        for (machine_id, task) in places {
+            self.stop_task(machine_id, id, task, now, grace_s);
         }
     }
 
-    /// A task is gone from its machine without being done. A gang that has started, or is being
-    /// stopped, starts over as a whole once all its tasks are gone; one that has not started gets
-    /// a replacement with the same attempt.
+    /// Handles a task that left its machine without being done. A gang that has started, or is
+    /// being stopped, restarts as a whole once all its tasks are gone. A gang that has not started
+    /// gets a replacement task with the same attempt.
     pub fn handle_lost_task(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         if job.spec.kind != JobKind::Gang || !job.is_open() {
@@ -84,44 +107,46 @@
         }
     }
 
-    /// Stops what runs on a machine that must not or cannot go on, saving what can be saved.
-    pub fn drain(&mut self, mid: MachineId, now: u64) {
-        let Some(m) = self.machines.get(&mid) else { return };
-        let left = m.reclaim_at.map_or(f64::MAX, |at| at.saturating_sub(now) as f64 / 1000.0);
-        let (faulty, gone_soon) = (m.faulty, left < 1e9);
+    /// Stops the tasks on a faulty or reclaimed machine, with time to save a checkpoint where that is
+    /// possible.
+    pub fn drain(&mut self, machine_id: MachineId, now: u64) {
+        let Some(machine) = self.machines.get(&machine_id) else { return };
+        let left_s =
+            machine.reclaim_at.map_or(f64::MAX, |at| at.saturating_sub(now) as f64 / 1000.0);
+        let (is_faulty, is_reclaimed) = (machine.faulty, left_s < 1e9);
         let mut gangs: BTreeSet<JobId> = BTreeSet::new();
-        let mut single: Vec<(JobId, u32, f64)> = Vec::new();
-        for ((id, task), e) in &m.assignments {
+        let mut independent: Vec<(JobId, u32, f64)> = Vec::new();
+        for ((id, task), assignment) in &machine.assignments {
             let Some(job) = self.jobs.get(id) else { continue };
-            if e.stop_requested.is_some() {
+            if assignment.stop_requested.is_some() {
                 continue;
             }
-            let save = job.spec.checkpoint_save_s;
+            let save_s = job.spec.checkpoint_save_s;
             let can_save = job.spec.checkpoint_interval_s > 0.0
-                && e.observed == ObservedState::Running
-                && (!faulty || m.slow);
-            // Without a checkpoint to win, a task may as well run on until the machine goes, in
-            // case it finishes first. Save as late as is safe.
-            let wait = gone_soon && (!can_save || left > save + 5.0);
-            if wait
-                && e.observed != ObservedState::NotReported
-                && e.observed != ObservedState::Pulling
+                && assignment.observed == ObservedState::Running
+                && (!is_faulty || machine.slow);
+            // A task that cannot save a checkpoint runs on until the machine is reclaimed, as it may
+            // finish before. A checkpoint is saved as late as is safe.
+            let can_wait = is_reclaimed && (!can_save || left_s > save_s + 5.0);
+            if can_wait
+                && assignment.observed != ObservedState::NotReported
+                && assignment.observed != ObservedState::Pulling
             {
                 continue;
             }
             if job.spec.kind == JobKind::Gang {
                 gangs.insert(*id);
             } else {
-                single.push((*id, *task, if can_save { save + 1.0 } else { 0.0 }));
+                independent.push((*id, *task, if can_save { save_s + 1.0 } else { 0.0 }));
             }
         }
-        for (id, task, grace) in single {
-            self.stop_task(mid, id, task, now, grace);
+        for (id, task, grace_s) in independent {
+            self.stop_task(machine_id, id, task, now, grace_s);
         }
         for id in gangs {
-            let grace = self.jobs.get(&id).map_or(0.0, |j| j.spec.checkpoint_save_s + 1.0);
-            let slow = self.machines.get(&mid).is_some_and(|m| m.slow);
-            self.stop_all_tasks(id, now, if faulty && !slow { 0.0 } else { grace });
+            let grace_s = self.jobs.get(&id).map_or(0.0, |job| job.spec.checkpoint_save_s + 1.0);
+            let is_slow = self.machines.get(&machine_id).is_some_and(|machine| machine.slow);
+            self.stop_all_tasks(id, now, if is_faulty && !is_slow { 0.0 } else { grace_s });
         }
     }
 }
