--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -1,4 +1,4 @@
-//! Takeover: all that a new leader knows, from the records alone (DESIGN, the leader paragraph).
+//! Takeover: rebuilds the state of a new leader from the records alone (see the leader section of the design document).
 
 use crate::admission::feasibility::resolve_spec;
 use crate::records::*;
@@ -6,7 +6,7 @@
 use crate::state::job::{DONE_CHUNK_TASKS, MAX_TIME_MS, WaitReason};
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::{Assignment, DirectRequest};
-use crate::state::packs::{MAX_PACK_MACHINES as PACKED, PackId};
+use crate::state::packs::{MAX_PACK_MACHINES, PackId};
 use crate::state::unreadable::PossibleTasks;
 use crate::state::write_queue::RecordKey;
 use copperhaven_recovery::{Machine, Zone};
@@ -14,255 +14,282 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-type Rows<T> = Vec<(String, T, u64)>;
+/// Path, value and revision of each record.
+type RecordList<T> = Vec<(String, T, u64)>;
 
-/// All records that a new leader reads: path, value, version.
+/// All records that a new leader reads, with their paths and revisions.
 #[derive(Default)]
 pub struct Records {
-    pub jobs: Rows<JobRecord>,
-    pub done: Rows<DoneTasksRecord>,
-    pub machines: Rows<MachineRecord>,
-    pub packs: Rows<PackRecord>,
-    pub rentals: Rows<RentalRecord>,
-    pub dependency_lists: Rows<DependenciesRecord>,
-    pub service: Rows<FairnessRecord>,
-    /// Lists of machines are written in packs.
+    /// Open jobs (`j/`).
+    pub jobs: RecordList<JobRecord>,
+    /// Finished tasks (`d/`).
+    pub done: RecordList<DoneTasksRecord>,
+    /// Machines that have a record of their own (`m/`).
+    pub machines: RecordList<MachineRecord>,
+    /// Packs of machines (`p/`).
+    pub packs: RecordList<PackRecord>,
+    /// Rentals that may be in progress (`r/`).
+    pub rentals: RecordList<RentalRecord>,
+    /// Parts of long dependency lists (`a/`).
+    pub dependency_lists: RecordList<DependenciesRecord>,
+    /// Parts of the fairness ledger (`c/service/`).
+    pub service: RecordList<FairnessRecord>,
+    /// Whether machines are to be written in packs.
     pub packs_enabled: bool,
-    /// Records that can't be read: path and version.
+    /// Path and revision of each record that can't be read.
     pub unreadable: Vec<(String, u64)>,
 }
 
-/// Puts together what an earlier leader has left. `now` is this leader's steady clock, `wall_ms` the
-/// time of day, both in milliseconds. What can't be read or used is set aside (`state::aside`).
-pub fn rebuild(cell: &mut LeaderState, read: Records, now: u64, wall_ms: u64) {
+/// Rebuilds the leader state from the records of earlier leaders. `now` is this leader's monotonic
+/// clock, `wall_ms` the time of day, both in milliseconds. Records that can't be read or used are
+/// kept in `state::unreadable`.
+pub fn rebuild(leader: &mut LeaderState, records: Records, now: u64, wall_ms: u64) {
     let Records {
         jobs,
         done,
         machines,
         packs,
         rentals,
-        dependency_lists: links,
+        dependency_lists,
         service,
-        packs_enabled: packed,
-        unreadable: bad,
-    } = read;
-    set_aside(cell, bad);
-    cell.restore_fairness(service, now);
-    let links = read_links(cell, links);
-    read_jobs(cell, jobs, links, (now, wall_ms));
-    read_done(cell, done);
-    read_packs(cell, packs, now);
-    for (path, r, stamp) in machines {
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        read_machine(cell, (&path, path.trim_start_matches("m/")), r, now);
+        packs_enabled,
+        unreadable,
+    } = records;
+    register_unreadable_records(leader, unreadable);
+    leader.restore_fairness(service, now);
+    let dependency_lists = read_dependency_lists(leader, dependency_lists);
+    read_jobs(leader, jobs, dependency_lists, (now, wall_ms));
+    read_done(leader, done);
+    read_packs(leader, packs, now);
+    for (path, record, revision) in machines {
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
+        read_machine(leader, (&path, path.trim_start_matches("m/")), record, now);
     }
-    for (path, r, stamp) in rentals {
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        let what = cell.names.types.get(&r.machine_type).zip(cell.names.zones.get(&r.zone));
-        if let Some((kind, zone)) = what {
+    for (path, record, revision) in rentals {
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
+        let type_and_zone =
+            leader.names.types.get(&record.machine_type).zip(leader.names.zones.get(&record.zone));
+        if let Some((machine_type, zone)) = type_and_zone {
             let name = path.trim_start_matches("r/");
-            cell.fleet.restore_rental(name, (kind, zone, r.spot), r.count.clamp(1, 50));
+            leader.fleet.restore_rental(
+                name,
+                (machine_type, zone, record.spot),
+                record.count.clamp(1, 50),
+            );
         }
     }
-    let ids: Vec<_> = cell.jobs.keys().copied().collect();
-    // Once for all: looking through all machines and jobs for each took 4.5 s with ten thousand of both.
-    let mut load = cell.pool_load(now);
+    let ids: Vec<_> = leader.jobs.keys().copied().collect();
+    // Computed once: scanning all machines and jobs for each job took 4.5 s with ten thousand of both.
+    let mut load = leader.pool_load(now);
     for id in ids {
-        let Some(job) = cell.jobs.get(&id) else { continue };
+        let Some(job) = leader.jobs.get(&id) else { continue };
         if job.is_cancelled() {
-            cell.stop_all_tasks(id, now, 0.0);
+            leader.stop_all_tasks(id, now, 0.0);
         } else if job.pending_dependencies.is_empty()
-            && let Ok(routed) = cell.admit_with_load(&load, &job.spec, now)
+            && let Ok(routed_by_pool) = leader.admit_with_load(&load, &job.spec, now)
         {
-            cell.add_routed(&mut load, &job.spec, &routed);
-            if let Some(job) = cell.jobs.get_mut(&id) {
-                job.routed_by_pool = routed;
+            leader.add_routed(&mut load, &job.spec, &routed_by_pool);
+            if let Some(job) = leader.jobs.get_mut(&id) {
+                job.routed_by_pool = routed_by_pool;
             }
         }
-        cell.finalize_if_over(id);
+        leader.finalize_if_over(id);
     }
-    cell.propagate_dependencies(now);
-    let machines = cell.machines.iter().map(|(mid, m)| (Machine(mid.0), Zone(m.zone.0)));
-    cell.recovery.records_loaded(machines, now);
-    if cell.request_early_reports {
-        tell_free_ones_first(cell);
+    leader.propagate_dependencies(now);
+    let machines = leader
+        .machines
+        .iter()
+        .map(|(machine_id, machine)| (Machine(machine_id.0), Zone(machine.zone.0)));
+    leader.recovery.records_loaded(machines, now);
+    if leader.request_early_reports {
+        order_requests_by_free_capacity(leader);
     }
-    if packed {
-        cell.pack_machines();
+    if packs_enabled {
+        leader.pack_machines();
     } else {
-        cell.unpack_machines();
+        leader.unpack_machines();
     }
 }
 
-/// Nothing starts on a machine before it has shown the term: where starts can't wait for its next report, those with
-/// room are told first.
-fn tell_free_ones_first(cell: &mut LeaderState) {
-    let LeaderState { direct_requests: direct, machines, .. } = cell;
-    let free = |d: &DirectRequest| {
-        let m = d.machine.and_then(|mid| machines.get(&mid));
-        m.map_or(0, |m| ((m.cpus - m.used_cpus).max(0.0) * 1000.0) as u64)
+/// Sorts the direct requests by free CPUs, most first. No task is started on a machine before it has acknowledged the
+/// term, so where starts can't wait for the next report, machines with free capacity get the new term first.
+fn order_requests_by_free_capacity(leader: &mut LeaderState) {
+    let LeaderState { direct_requests, machines, .. } = leader;
+    let free_millicpus = |request: &DirectRequest| {
+        let machine = request.machine.and_then(|machine_id| machines.get(&machine_id));
+        machine.map_or(0, |machine| ((machine.cpus - machine.used_cpus).max(0.0) * 1000.0) as u64)
     };
-    direct.sort_by_key(|d| std::cmp::Reverse(free(d)));
+    direct_requests.sort_by_key(|request| std::cmp::Reverse(free_millicpus(request)));
 }
 
-/// What can't be read is named and left as it is. A job is nobody's to start, cancel or take for new; a
-/// machine may hold tasks of any job; finished ranges are worked out once more and recorded beside; a
-/// job whose links are missing is set aside itself; a rental is never asked for again, and what it
-/// may have rented shows in reports and lists.
-fn set_aside(cell: &mut LeaderState, bad: Vec<(String, u64)>) {
-    for (path, stamp) in bad {
-        tracing::error!("the record {path} can't be read: it is left as it is");
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
+/// Registers the records that can't be read, logs them and leaves them as they are. The job of an
+/// unreadable job record is neither started, cancelled nor accepted as new. A machine with an
+/// unreadable record may hold tasks of any job. Unreadable finished tasks are run again and recorded
+/// under another path. A job with an unreadable dependency list becomes unreadable itself. An
+/// unreadable rental is never requested again; machines that it has rented appear in reports and in
+/// the cloud's list.
+fn register_unreadable_records(leader: &mut LeaderState, unreadable: Vec<(String, u64)>) {
+    for (path, revision) in unreadable {
+        tracing::error!("the record {path} can't be read and is left as it is");
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
         match path.split_once('/') {
             Some(("j", uid)) => {
-                cell.unreadable.add_job(uid, format!("its record {path} can't be read"));
+                leader.unreadable.add_job(uid, format!("its record {path} can't be read"));
             }
-            Some(("m", name)) => cell.unreadable.add_machine(name, PossibleTasks::Any),
-            // Of how many machines, and which, is not known: as many as a pack has at most.
+            Some(("m", name)) => leader.unreadable.add_machine(name, PossibleTasks::Any),
+            // Which machines the pack lists is unknown: the largest possible number is assumed.
             Some(("p", n)) => {
-                for i in 0..PACKED {
-                    cell.unreadable.add_machine(&format!("p/{n}#{i}"), PossibleTasks::Any);
+                for i in 0..MAX_PACK_MACHINES {
+                    leader.unreadable.add_machine(&format!("p/{n}#{i}"), PossibleTasks::Any);
                 }
                 if let Ok(n) = n.parse() {
-                    cell.packs.register(PackId(n), false);
+                    leader.packs.register(PackId(n), false);
                 }
             }
             _ => {}
         }
         if !path.starts_with("m/") {
-            cell.unreadable.write_protect(&path);
+            leader.unreadable.write_protect(&path);
         }
     }
 }
 
-/// How long ago a time of day was, in milliseconds; ten years at most.
-fn age_ms(at: u64, wall_ms: u64) -> i64 {
-    i64::try_from(wall_ms.saturating_sub(at)).map_or(MAX_TIME_MS, |age| age.min(MAX_TIME_MS))
+/// Returns the age of a time of day in milliseconds, at most `MAX_TIME_MS` (ten years).
+fn age_ms(time_ms: u64, wall_ms: u64) -> i64 {
+    i64::try_from(wall_ms.saturating_sub(time_ms)).map_or(MAX_TIME_MS, |age| age.min(MAX_TIME_MS))
 }
 
-/// The parts of long lists of what jobs wait for, by path.
-fn read_links(
-    cell: &mut LeaderState,
-    links: Rows<DependenciesRecord>,
+/// Returns the parts of long dependency lists, by path.
+fn read_dependency_lists(
+    leader: &mut LeaderState,
+    dependency_lists: RecordList<DependenciesRecord>,
 ) -> BTreeMap<String, Vec<String>> {
     let mut out = BTreeMap::new();
-    for (path, record, stamp) in links {
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
+    for (path, record, revision) in dependency_lists {
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
         out.insert(path, record.dependencies);
     }
     out
 }
 
-/// Open jobs, and what they wait for.
+/// Restores open jobs and their dependencies.
 fn read_jobs(
-    cell: &mut LeaderState,
-    jobs: Rows<JobRecord>,
-    mut links: BTreeMap<String, Vec<String>>,
+    leader: &mut LeaderState,
+    jobs: RecordList<JobRecord>,
+    mut dependency_lists: BTreeMap<String, Vec<String>>,
     (now, wall_ms): (u64, u64),
 ) {
-    let mut parked = vec![];
-    for (path, mut record, stamp) in jobs {
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        let waits = record.dependency_wait.take();
-        if let Some(waits) = &waits {
-            record.job.machine_types.clone_from(&waits.machine_types);
+    let mut blocked = vec![];
+    for (path, mut record, revision) in jobs {
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
+        let dependency_wait = record.dependency_wait.take();
+        if let Some(dependency_wait) = &dependency_wait {
+            record.job.machine_types.clone_from(&dependency_wait.machine_types);
         }
-        let settings = cell.settings.clone();
-        let flavors = std::mem::take(&mut cell.machine_types);
+        let settings = leader.settings.clone();
+        let machine_types = std::mem::take(&mut leader.machine_types);
         let uid = path.trim_start_matches("j/");
-        let parts = waits.as_ref().filter(|_| !record.cancelled).map_or(0, |w| w.parts);
-        let lacks = (0..parts).map(|n| format!("a/{uid}/{n}")).find(|p| !links.contains_key(p));
-        let spec = if let Some(part) = lacks {
+        let parts = dependency_wait.as_ref().filter(|_| !record.cancelled).map_or(0, |w| w.parts);
+        let missing_part =
+            (0..parts).map(|n| format!("a/{uid}/{n}")).find(|p| !dependency_lists.contains_key(p));
+        let spec = if let Some(part) = missing_part {
             Err(format!("{part}, which lists what it waits for, is missing"))
         } else if uid != record.job.uid {
             Err(format!("it is of {}", record.job.uid))
-        } else if let Err(e) = validate(&record.job) {
-            Err(e.to_string())
+        } else if let Err(error) = validate(&record.job) {
+            Err(error.to_string())
         } else {
-            resolve_spec(&record.job, &mut cell.names, &flavors, &settings)
-                .map_err(|e| format!("accepted under other settings: {e}"))
+            resolve_spec(&record.job, &mut leader.names, &machine_types, &settings)
+                .map_err(|error| format!("accepted under other settings: {error}"))
         };
-        cell.machine_types = flavors;
+        leader.machine_types = machine_types;
         let spec = match spec {
             Ok(spec) => spec,
-            Err(e) => {
-                tracing::error!("the record {path} can't be used and is left as it is: {e}");
-                cell.unreadable.add_job(uid, format!("its record can't be used: {e}"));
-                cell.unreadable.write_protect(&path);
+            Err(error) => {
+                tracing::error!("the record {path} can't be used and is left as it is: {error}");
+                leader.unreadable.add_job(uid, format!("its record can't be used: {error}"));
+                leader.unreadable.write_protect(&path);
                 continue;
             }
         };
-        // A time that lies far off is taken for one that can be reckoned with.
-        let at = record.accepted_at_ms.min(wall_ms + MAX_TIME_MS as u64);
-        let born = now as i64 - age_ms(at, wall_ms);
-        let id = cell.insert_job(spec, record.job, at, born);
-        if let Some(job) = cell.jobs.get_mut(&id) {
+        // Times in the far future are capped, so that arithmetic with them stays in range.
+        let accepted_at_ms = record.accepted_at_ms.min(wall_ms + MAX_TIME_MS as u64);
+        let accepted_mono_ms = now as i64 - age_ms(accepted_at_ms, wall_ms);
+        let id = leader.insert_job(spec, record.job, accepted_at_ms, accepted_mono_ms);
+        if let Some(job) = leader.jobs.get_mut(&id) {
             job.wait_reason = WaitReason::Nothing;
             if record.cancelled {
                 job.cancel_ver = Some(0);
                 job.waiting.clear();
-                cell.queue.remove(&(at, id));
-                cell.fairness_ledger.remove_job(fairness_accounting::fairness_job(id));
-            } else if let Some(since) = record.eligible_at_ms {
-                // It has waited for others.
-                let since = since.min(wall_ms + MAX_TIME_MS as u64);
-                job.eligible_mono_ms = now as i64 - age_ms(since, wall_ms);
-                job.eligible_at_ms = since;
-                cell.queue.remove(&(at, id));
-                cell.queue.insert((since, id));
-                cell.open_fairness(id);
+                leader.queue.remove(&(accepted_at_ms, id));
+                leader.fairness_ledger.remove_job(fairness_accounting::fairness_job(id));
+            } else if let Some(eligible_at_ms) = record.eligible_at_ms {
+                // The job was blocked on dependencies before.
+                let eligible_at_ms = eligible_at_ms.min(wall_ms + MAX_TIME_MS as u64);
+                job.eligible_mono_ms = now as i64 - age_ms(eligible_at_ms, wall_ms);
+                job.eligible_at_ms = eligible_at_ms;
+                leader.queue.remove(&(accepted_at_ms, id));
+                leader.queue.insert((eligible_at_ms, id));
+                leader.open_fairness(id);
             }
         }
-        cell.write_queue.mark_saved(RecordKey::Job(id));
-        if let Some(waits) = waits.filter(|_| !record.cancelled) {
-            parked.push((id, waits));
+        leader.write_queue.mark_saved(RecordKey::Job(id));
+        if let Some(dependency_wait) = dependency_wait.filter(|_| !record.cancelled) {
+            blocked.push((id, dependency_wait));
         }
     }
-    for (id, waits) in parked {
-        let Some(job) = cell.jobs.get_mut(&id) else { continue };
-        job.dependency_parts = waits.parts;
-        let paths = (0..waits.parts).map(|part| format!("a/{}/{part}", job.spec.uid));
-        let more = paths.filter_map(|path| links.remove(&path)).flatten();
-        let on = waits.dependencies.into_iter().chain(more).map(Arc::from).collect();
-        cell.block_on_dependencies(id, on, now);
+    for (id, dependency_wait) in blocked {
+        let Some(job) = leader.jobs.get_mut(&id) else { continue };
+        job.dependency_parts = dependency_wait.parts;
+        let paths = (0..dependency_wait.parts).map(|part| format!("a/{}/{part}", job.spec.uid));
+        let listed_dependencies = paths.filter_map(|path| dependency_lists.remove(&path)).flatten();
+        let dependencies = dependency_wait
+            .dependencies
+            .into_iter()
+            .chain(listed_dependencies)
+            .map(Arc::from)
+            .collect();
+        leader.block_on_dependencies(id, dependencies, now);
     }
-    for uid in cell.unreadable.job_ids() {
-        cell.mark_outcome_unknown(&uid);
+    for uid in leader.unreadable.job_ids() {
+        leader.mark_outcome_unknown(&uid);
     }
-    drop_unused_links(cell);
+    delete_unused_dependency_lists(leader);
 }
 
-fn drop_unused_links(cell: &mut LeaderState) {
-    // Left over from submissions that were never accepted, or of jobs that wait no more.
+/// Deletes dependency lists left over from submissions that were never accepted, and from jobs that
+/// no longer wait for others.
+fn delete_unused_dependency_lists(leader: &mut LeaderState) {
     let unused = |path: &&String| {
         let uid = path.strip_prefix("a/").and_then(|p| p.split('/').next());
         uid.is_some_and(|uid| {
-            let known = cell.unreadable.job_reason(uid).is_some()
-                || cell.unreadable.is_write_protected(path);
-            !known && cell.job(uid).is_none_or(|(_, j)| j.dependency_parts == 0)
+            let known = leader.unreadable.job_reason(uid).is_some()
+                || leader.unreadable.is_write_protected(path);
+            !known && leader.job(uid).is_none_or(|(_, job)| job.dependency_parts == 0)
         })
     };
-    let unused: Vec<String> = cell.write_queue.paths().filter(unused).cloned().collect();
+    let unused: Vec<String> = leader.write_queue.paths().filter(unused).cloned().collect();
     for path in unused {
-        cell.mark_dirty(RecordKey::Delete(path));
+        leader.mark_dirty(RecordKey::Delete(path));
     }
 }
 
-fn read_done(cell: &mut LeaderState, done: Rows<DoneTasksRecord>) {
-    for (path, record, stamp) in done {
+/// Restores finished tasks, and deletes the records of jobs that are final.
+fn read_done(leader: &mut LeaderState, done: RecordList<DoneTasksRecord>) {
+    for (path, record, revision) in done {
         let mut parts = path.split('/').skip(1);
         let uid = parts.next().unwrap_or_default();
         let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
-        if cell.unreadable.job_reason(uid).is_some() {
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
+        if leader.unreadable.job_reason(uid).is_some() {
             continue;
         }
-        let (Some(id), Some(chunk)) = (cell.jobs.id_of(uid), chunk) else {
+        let (Some(id), Some(chunk)) = (leader.jobs.id_of(uid), chunk) else {
             // Left over from a job that is final.
-            cell.mark_dirty(RecordKey::Delete(path));
+            leader.mark_dirty(RecordKey::Delete(path));
             continue;
         };
-        if let Some(job) = cell.jobs.get_mut(&id) {
+        if let Some(job) = leader.jobs.get_mut(&id) {
             let from = chunk.saturating_mul(DONE_CHUNK_TASKS);
             for task in from_ranges(&record.task_ranges) {
                 if task >= from && task - from < DONE_CHUNK_TASKS && task < job.spec.tasks {
@@ -274,104 +301,111 @@
     }
 }
 
-/// Machines whose lists stand together in one record.
-fn read_packs(cell: &mut LeaderState, packs: Rows<PackRecord>, now: u64) {
-    // What all lists of a machine say together is safe with the next write of it.
-    let ver = cell.write_queue.latest_version() + 1;
-    for (path, record, stamp) in packs {
-        cell.write_queue.set_path_revision(path.clone(), Some(stamp));
+/// Restores machines that are listed in packs.
+fn read_packs(leader: &mut LeaderState, packs: RecordList<PackRecord>, now: u64) {
+    // The next write of a machine saves what all its lists say together.
+    let ver = leader.write_queue.latest_version() + 1;
+    for (path, record, revision) in packs {
+        leader.write_queue.set_path_revision(path.clone(), Some(revision));
         let number = path.trim_start_matches("p/").parse().ok().map(PackId);
-        // A pack is written anew as a whole. One that lists what can't be used is left as it is, and those in it that
-        // can be used go elsewhere with their next change. One that another lists too is its shadow there, or here.
-        let usable = |r: &MachineRecord| {
-            cell.names.types.get(&r.machine_type).is_some()
-                && cell.names.zones.get(&r.zone).is_some()
+        // A pack is rewritten as a whole. A pack with a machine that can't be used is left as it is, and its usable
+        // machines move to other packs with their next change. For a machine in several packs, one pack is kept and the
+        // others list it as a shadow.
+        let has_known_type_and_zone = |record: &MachineRecord| {
+            leader.names.types.get(&record.machine_type).is_some()
+                && leader.names.zones.get(&record.zone).is_some()
         };
-        let fit = record.machines.values().all(usable);
-        let pack = number.filter(|_| fit);
+        let is_usable = record.machines.values().all(has_known_type_and_zone);
+        let pack = number.filter(|_| is_usable);
         if pack.is_none() {
             tracing::error!(
-                "the record {path} can't be used as it is: it counts, and is left as it is"
+                "the record {path} can't be used as it is: its tasks count, and it is left as it is"
             );
-            cell.unreadable.write_protect(&path);
+            leader.unreadable.write_protect(&path);
         }
         if let Some(number) = number {
-            cell.packs.register(number, pack.is_some());
+            leader.packs.register(number, pack.is_some());
         }
-        for (name, r) in record.machines {
-            read_machine(cell, (&path, &name), r, now);
-            if let (Some(pack), Some(mid)) = (pack, cell.machines.id_of(&name)) {
-                cell.packs.restore(mid, pack, ver);
+        for (name, record) in record.machines {
+            read_machine(leader, (&path, &name), record, now);
+            if let (Some(pack), Some(machine_id)) = (pack, leader.machines.id_of(&name)) {
+                leader.packs.restore(machine_id, pack, ver);
             }
         }
     }
 }
 
-/// A machine and the tasks that may be on it: a superset. Listed twice, it holds what either lists.
-fn read_machine(cell: &mut LeaderState, (path, name): (&str, &str), r: MachineRecord, now: u64) {
-    let known = cell.machines.id_of(name);
-    let (addr, shift) = (r.addr.clone(), r.session);
+/// Restores a machine and the tasks that may be on it, a superset of those that are. A machine that
+/// is listed twice gets the tasks of both lists.
+fn read_machine(
+    leader: &mut LeaderState,
+    (path, name): (&str, &str),
+    record: MachineRecord,
+    now: u64,
+) {
+    let known = leader.machines.id_of(name);
+    let (addr, session) = (record.addr.clone(), record.session);
     if known.is_none() {
-        // Fences the old leader: a worker that has seen this term drops its responses.
-        cell.direct_requests.push(DirectRequest {
-            machine: None,
-            addr,
-            session: shift,
-            orders: vec![],
-        });
+        // Fences the old leader: a worker that has acknowledged this term drops its responses.
+        leader.direct_requests.push(DirectRequest { machine: None, addr, session, orders: vec![] });
     }
-    let (Some(kind), Some(zone)) =
-        (cell.names.types.get(&r.machine_type), cell.names.zones.get(&r.zone))
+    let (Some(machine_type), Some(zone)) =
+        (leader.names.types.get(&record.machine_type), leader.names.zones.get(&record.zone))
     else {
-        let (berth, yard) = (&r.machine_type, &r.zone);
-        tracing::error!("the record {path} can't be used: type `{berth}`, zone `{yard}`");
-        if !r.assignments.is_empty() {
-            let jobs = r.assignments.into_iter().map(|on| on.job).collect();
-            cell.unreadable.add_machine(name, PossibleTasks::Jobs(jobs));
+        let (machine_type, zone) = (&record.machine_type, &record.zone);
+        tracing::error!("the record {path} can't be used: type `{machine_type}`, zone `{zone}`");
+        if !record.assignments.is_empty() {
+            let jobs = record.assignments.into_iter().map(|assignment| assignment.job).collect();
+            leader.unreadable.add_machine(name, PossibleTasks::Jobs(jobs));
         }
         return;
     };
-    let mid = match known {
-        Some(mid) => mid,
+    let machine_id = match known {
+        Some(machine_id) => machine_id,
         None => {
-            let mid = cell.add_machine(name, &r.addr, kind, zone, r.spot, now);
-            if let Some(direct) = cell.direct_requests.last_mut() {
-                direct.machine = Some(mid);
+            let machine_id =
+                leader.add_machine(name, &record.addr, machine_type, zone, record.spot, now);
+            if let Some(request) = leader.direct_requests.last_mut() {
+                request.machine = Some(machine_id);
             }
-            mid
+            machine_id
         }
     };
-    for on in r.assignments {
-        let Some(id) = cell.jobs.id_of(on.job.as_str()) else {
-            // A job that is not open is final: what is done has exited, and a cancelled job only
-            // becomes final once none of its tasks can be on a machine. What is set aside may
-            // be neither.
-            if cell.unreadable.job_reason(&on.job).is_some()
-                && let Some(m) = cell.machines.get_mut(&mid)
-                && !m.unreadable_job_tasks.contains(&on)
+    for recorded in record.assignments {
+        let Some(id) = leader.jobs.id_of(recorded.job.as_str()) else {
+            // A job that is not open is final: tasks that are done have exited, and a cancelled job
+            // only becomes final once none of its tasks can be on a machine. An unreadable job may
+            // not be final, so its tasks are kept on record.
+            if leader.unreadable.job_reason(&recorded.job).is_some()
+                && let Some(machine) = leader.machines.get_mut(&machine_id)
+                && !machine.unreadable_job_tasks.contains(&recorded)
             {
-                m.unreadable_job_tasks.push(on);
+                machine.unreadable_job_tasks.push(recorded);
             }
             continue;
         };
-        for task in from_ranges(&on.task_ranges) {
-            let job = &cell.jobs[&id];
+        for task in from_ranges(&recorded.task_ranges) {
+            let job = &leader.jobs[&id];
             if task >= job.spec.tasks {
                 continue;
             }
-            let before = cell.machines.get(&mid).and_then(|m| m.assignments.get(&(id, task)));
-            let attempt = before.map_or(on.attempt, |e| e.attempt.max(on.attempt));
-            let mut e = Assignment::new(attempt, 0, now);
-            e.unconfirmed = true;
-            // Done by one record, and listed by another: mostly it has exited since. But an
-            // earlier leader that could not read the first has started it again, and so it
-            // may be there, and counts, until it is proven not to be.
+            let before = leader
+                .machines
+                .get(&machine_id)
+                .and_then(|machine| machine.assignments.get(&(id, task)));
+            let attempt = before
+                .map_or(recorded.attempt, |assignment| assignment.attempt.max(recorded.attempt));
+            let mut assignment = Assignment::new(attempt, 0, now);
+            assignment.unconfirmed = true;
+            // A task recorded as done but still listed has usually exited since. But an earlier
+            // leader that could not read the record of done tasks may have started it again, so it
+            // counts until a report proves that it is not there.
             if job.done.contains(task) {
-                e.stop_requested = Some((now, 0.0));
+                assignment.stop_requested = Some((now, 0.0));
             }
-            cell.attach(mid, id, task, e);
-            if let Some(job) = cell.jobs.get_mut(&id) {
-                job.gang_attempt = job.gang_attempt.max(on.attempt);
+            leader.attach(machine_id, id, task, assignment);
+            if let Some(job) = leader.jobs.get_mut(&id) {
+                job.gang_attempt = job.gang_attempt.max(recorded.attempt);
             }
         }
     }
--- a/crates/core/src/workers/report_requests.rs
+++ b/crates/core/src/workers/report_requests.rs
@@ -1,8 +1,9 @@
-//! Nudges: having a worker report at once. A start goes only with the response to a report, which proves what was on
-//! the machine before; where workers report more rarely than starts may wait, that report is asked for. What asks is an
-//! order that the worker has to refuse: a task of no job. Its list has changed by that, so it reports, and the response
-//! carries the starts. Late or repeated a nudge starts nothing, whatever became of it: unlike a start that is sent
-//! directly, which may be carried out minutes later and would keep its task from being counted as absent until then.
+//! Report requests, which make a worker report at once. A task is only started by the response to a report, because the
+//! report proves which tasks were on the machine before. Where the report interval is longer than starts may wait, the
+//! leader requests a report by sending an order that the worker has to refuse: to run a task of a job that cannot exist.
+//! The refusal changes the worker's task list, so it reports, and the response carries the starts. A report request that
+//! arrives late or twice starts nothing. A `run` sent directly could be executed minutes later, and until then its task
+//! could not be counted as absent.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::{DirectRequest, Machine, ObservedState};
@@ -10,64 +11,72 @@
 use crate::state::write_queue::RecordKey;
 use copperhaven_wire::workers::Order;
 
-/// No job can have this id.
-const NUDGE: &str = "nudge";
+/// Job id of report requests. No job can have it.
+const REQUEST_JOB_ID: &str = "nudge";
 
-/// An order that its worker refuses, and shows in its next report.
+/// Returns an order that the worker refuses and lists in its next report.
 pub(super) fn report_request_order(attempt: u64) -> Order {
-    // Each a task of its own: the one before may not be forgotten yet.
-    Order::Run { task_id: format!("{NUDGE}/{}", attempt & 0xff_ffff), attempt }
+    // Each request has its own task id, as the worker may not have forgotten the previous one yet.
+    Order::Run { task_id: format!("{REQUEST_JOB_ID}/{}", attempt & 0xff_ffff), attempt }
 }
 
 impl LeaderState {
-    /// These keys are safe: whose starts wait for a report is asked for one.
+    /// Requests a report from those machines among these saved records that have unsent starts.
     pub(crate) fn request_reports(&mut self, keys: &[RecordKey]) {
         if !self.request_early_reports {
             return;
         }
         for key in keys {
-            let RecordKey::Machine(mid) = key else { continue };
-            if !self.wants_nudge(*mid) {
+            let RecordKey::Machine(machine_id) = key else { continue };
+            if !self.should_request_report(*machine_id) {
                 continue;
             }
             let attempt = self.new_attempt();
-            let Some(m) = self.machines.get_mut(mid) else { continue };
-            m.last_requested_report = m.last_report;
+            let Some(machine) = self.machines.get_mut(machine_id) else { continue };
+            machine.last_requested_report = machine.last_report;
             let orders = vec![report_request_order(attempt)];
-            let (addr, shift) = (m.addr.clone(), m.last_report.0);
+            let (addr, session) = (machine.addr.clone(), machine.last_report.0);
             self.direct_requests.push(DirectRequest {
-                machine: Some(*mid),
+                machine: Some(*machine_id),
                 addr,
-                session: shift,
+                session,
                 orders,
             });
         }
     }
 
-    /// Has it recorded starts to be told, and no report that waits for its answer? Once for each report.
-    fn wants_nudge(&self, mid: MachineId) -> bool {
-        self.machines.get(&mid).is_some_and(|m| {
-            m.last_requested_report != m.last_report && self.waits_for_report(mid, m)
+    /// Returns whether a report is to be requested from a machine. True at most once per report.
+    fn should_request_report(&self, machine_id: MachineId) -> bool {
+        self.machines.get(&machine_id).is_some_and(|machine| {
+            machine.last_requested_report != machine.last_report
+                && self.has_unsent_runs(machine_id, machine)
         })
     }
 
-    fn waits_for_report(&self, mid: MachineId, m: &Machine) -> bool {
-        let key = RecordKey::Machine(mid);
-        let unsent = |e: &crate::state::machine::Assignment| {
-            e.run_sent_with.is_none()
-                && e.observed == ObservedState::NotReported
-                && !e.unconfirmed
-                && e.stop_requested.is_none()
+    /// Returns whether a machine has saved `run`s that can only go with the response to its next report. False while a
+    /// report of it is unanswered, as that response carries them.
+    fn has_unsent_runs(&self, machine_id: MachineId, machine: &Machine) -> bool {
+        let key = RecordKey::Machine(machine_id);
+        let unsent = |assignment: &crate::state::machine::Assignment| {
+            assignment.run_sent_with.is_none()
+                && assignment.observed == ObservedState::NotReported
+                && !assignment.unconfirmed
+                && assignment.stop_requested.is_none()
         };
-        m.fenced
-            && !m.response_tracker.is_unresponsive()
-            && m.last_ordered_report == m.last_report
-            && m.assignments.values().any(|e| unsent(e) && self.is_saved(&key, e.ver))
+        machine.fenced
+            && !machine.response_tracker.is_unresponsive()
+            && machine.last_ordered_report == machine.last_report
+            && machine
+                .assignments
+                .values()
+                .any(|assignment| unsent(assignment) && self.is_saved(&key, assignment.ver))
     }
 
-    /// Is a nudge of this machine still of use?
-    pub fn is_report_request_useful(&self, mid: MachineId) -> bool {
-        self.machines.get(&mid).is_some_and(|m| self.waits_for_report(mid, m))
+    /// Returns whether a report request to this machine still serves a purpose. Checked before it is sent.
+    pub fn is_report_request_useful(&self, machine_id: MachineId) -> bool {
+        self.machines
+            .get(&machine_id)
+            .is_some_and(|machine| self.has_unsent_runs(machine_id, machine))
     }
 }
 
@@ -77,84 +86,97 @@
     use crate::for_tests::*;
     use crate::workers::reports::ReportOutcome;
 
-    /// A cell whose starts hurry, with one idle machine that has reported and was answered.
-    fn hurried() -> (LeaderState, MachineId) {
-        let mut c = cell();
-        c.request_early_reports = true;
-        exchange_report(&mut c, &report(1, 1, TERM, &[]), START_MS);
-        let mid = c.machines.id_of("n-1").expect("there");
-        (c, mid)
+    /// A leader that requests early reports, with one idle machine whose report has been answered.
+    fn leader_with_early_reports() -> (LeaderState, MachineId) {
+        let mut leader = cell();
+        leader.request_early_reports = true;
+        exchange_report(&mut leader, &report(1, 1, TERM, &[]), START_MS);
+        let machine_id = leader.machines.id_of("n-1").expect("there");
+        (leader, machine_id)
     }
 
-    fn place_one(c: &mut LeaderState) -> usize {
-        add_job(c, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
-        commit(c);
-        c.run_placement_pass(START_MS + 100);
-        assert!(c.direct_requests.is_empty(), "nothing before it is recorded");
-        commit(c);
-        c.direct_requests.len()
+    fn place_one_task(leader: &mut LeaderState) -> usize {
+        add_job(leader, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
+        commit(leader);
+        leader.run_placement_pass(START_MS + 100);
+        assert!(leader.direct_requests.is_empty(), "no request before the start is recorded");
+        commit(leader);
+        leader.direct_requests.len()
     }
 
     #[test]
-    fn a_machine_is_nudged_once_its_start_is_recorded_and_only_if_no_report_waits() {
-        let (mut c, mid) = hurried();
-        assert_eq!(place_one(&mut c), 1);
-        let d = c.direct_requests.pop().expect("one");
-        let is_nudge =
-            |o: &Order| matches!(o, Order::Run { task_id, .. } if task_id.starts_with(NUDGE));
-        assert!(d.orders.len() == 1 && d.orders.iter().all(is_nudge), "no start: {:?}", d.orders);
-        assert!(c.is_report_request_useful(mid));
-        // Recorded again, it is not asked again; its report carries the start, and the nudge is of no use any more.
-        c.mark_dirty(RecordKey::Machine(mid));
-        commit(&mut c);
-        assert!(c.direct_requests.is_empty());
+    fn a_report_is_requested_once_a_start_is_recorded_and_only_if_no_report_is_unanswered() {
+        let (mut leader, machine_id) = leader_with_early_reports();
+        assert_eq!(place_one_task(&mut leader), 1);
+        let request = leader.direct_requests.pop().expect("one");
+        let is_request = |order: &Order| matches!(order, Order::Run { task_id, .. } if task_id.starts_with(REQUEST_JOB_ID));
+        assert!(
+            request.orders.len() == 1 && request.orders.iter().all(is_request),
+            "requests only, no start: {:?}",
+            request.orders
+        );
+        assert!(leader.is_report_request_useful(machine_id));
+        // Another write of the record requests no second report. The response to the report carries the start, after which
+        // the request serves no purpose.
+        leader.mark_dirty(RecordKey::Machine(machine_id));
+        commit(&mut leader);
+        assert!(leader.direct_requests.is_empty());
         let r = report(1, 2, TERM, &[("nudge/9", 9, "ended:no_such")]);
-        assert_eq!(c.on_report(&r, START_MS + 200), ReportOutcome::Answer(mid));
-        assert!(!c.is_report_request_useful(mid), "a report waits for its answer");
-        let orders = c.issue_orders(mid, (1, 2), START_MS + 200, true).expect("orders").orders;
+        assert_eq!(leader.on_report(&r, START_MS + 200), ReportOutcome::Answer(machine_id));
+        assert!(!leader.is_report_request_useful(machine_id), "a report is unanswered");
+        let orders =
+            leader.issue_orders(machine_id, (1, 2), START_MS + 200, true).expect("orders").orders;
         assert!(
             matches!(&orders[..], [Order::Forget { task_id, .. }, Order::Run { task_id: run, .. }]
             if task_id == "nudge/9" && run == "wk-1/0")
         );
-        assert!(!c.is_report_request_useful(mid) && c.machines[&mid].machine_failures == 0);
-        // While the report waits at the door, its response is the quicker way.
-        let (mut c, mid) = hurried();
-        c.on_report(&report(1, 2, TERM, &[]), START_MS + 90);
-        assert_eq!(place_one(&mut c), 0);
+        assert!(
+            !leader.is_report_request_useful(machine_id)
+                && leader.machines[&machine_id].machine_failures == 0
+        );
+        // No report is requested while one is unanswered: its response carries the start sooner.
+        let (mut leader, machine_id) = leader_with_early_reports();
+        leader.on_report(&report(1, 2, TERM, &[]), START_MS + 90);
+        assert_eq!(place_one_task(&mut leader), 0);
         assert_eq!(
-            c.issue_orders(mid, (1, 2), START_MS + 200, true).expect("orders").orders.len(),
+            leader
+                .issue_orders(machine_id, (1, 2), START_MS + 200, true)
+                .expect("orders")
+                .orders
+                .len(),
             1
         );
-        // One that has not shown this term is not started on.
-        let (mut c, mid) = hurried();
-        c.machines.get_mut(&mid).expect("there").fenced = false;
-        assert_eq!(place_one(&mut c), 0);
+        // No task is started on a machine that has not acknowledged this term.
+        let (mut leader, machine_id) = leader_with_early_reports();
+        leader.machines.get_mut(&machine_id).expect("there").fenced = false;
+        assert_eq!(place_one_task(&mut leader), 0);
     }
 
     #[test]
-    fn a_late_nudge_is_forgotten_and_proves_nothing() {
-        // Minutes later, also while its task has run and gone: nothing starts, nobody is blamed.
-        let (mut c, mid) = hurried();
-        place_one(&mut c);
-        for (tally, parcels) in [
+    fn a_late_report_request_starts_nothing_and_counts_as_no_failure() {
+        // The worker executes the request minutes late, while or after the task runs: nothing is started because of it, and
+        // no failure is counted against the machine.
+        let (mut leader, machine_id) = leader_with_early_reports();
+        place_one_task(&mut leader);
+        for (sequence, tasks) in [
             (2, vec![]),
             (3, vec![("wk-1/0", (TERM << 24) + 1, "running"), ("nudge/5", 5, "ended:no_such")]),
             (4, vec![("wk-1/0", (TERM << 24) + 1, "ended:done"), ("nudge/5", 5, "running")]),
         ] {
-            let r = report(1, tally, TERM, &parcels);
-            let orders = exchange_report(&mut c, &r, START_MS + 1000 * tally);
-            let runs = orders.iter().filter(|o| matches!(o, Order::Run { .. })).count();
-            assert_eq!(runs, usize::from(tally == 2), "{orders:?}");
+            let r = report(1, sequence, TERM, &tasks);
+            let orders = exchange_report(&mut leader, &r, START_MS + 1000 * sequence);
+            let runs = orders.iter().filter(|order| matches!(order, Order::Run { .. })).count();
+            assert_eq!(runs, usize::from(sequence == 2), "{orders:?}");
         }
         assert_eq!(
-            (c.machines[&mid].machine_failures, c.final_records.contains("wk-1")),
+            (leader.machines[&machine_id].machine_failures, leader.final_records.contains("wk-1")),
             (0, true)
         );
     }
 
     #[test]
-    fn starts_hurry_where_reports_are_rarer_than_they_may_wait() {
-        for (objectives, report_s, hurry) in [
+    fn early_reports_are_needed_where_starts_may_wait_less_than_a_report_interval() {
+        for (objectives, report_s, early_reports) in [
             (r#"objectives = [{ kind = "wait", class = "steady", within_s = 3.0 }]"#, 8.0, true),
             (r#"objectives = [{ kind = "guarantee", within_s = 5.0 }]"#, 8.0, true),
             (r#"objectives = [{ kind = "guarantee", within_s = 20.0 }]"#, 4.0, false),
@@ -165,9 +187,9 @@
             ),
             ("objectives = []", 8.0, false),
         ] {
-            let mut s = sample_settings_with(&[(OBJECTIVES_LINE, objectives)]);
-            s.deployment.workers.report_s = report_s;
-            assert_eq!(s.needs_early_reports(), hurry, "{objectives}");
+            let mut settings = sample_settings_with(&[(OBJECTIVES_LINE, objectives)]);
+            settings.deployment.workers.report_s = report_s;
+            assert_eq!(settings.needs_early_reports(), early_reports, "{objectives}");
         }
     }
 }
