--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -1,4 +1,5 @@
-//! Takeover: rebuilds the state of a new leader from the records alone (see the leader section of the design document).
+//! Takeover: rebuilds the state of a new leader from the records alone (see the leader section of
+//! the design document).
 
 use crate::admission::feasibility::resolve_spec;
 use crate::records::*;
@@ -79,7 +80,8 @@
         }
     }
     let ids: Vec<_> = leader.jobs.keys().copied().collect();
-    // Computed once: scanning all machines and jobs for each job took 4.5 s with ten thousand of both.
+    // Computed once: scanning all machines and jobs for each job took 4.5 s with ten thousand of
+    // both.
     let mut load = leader.pool_load(now);
     for id in ids {
         let Some(job) = leader.jobs.get(&id) else { continue };
@@ -111,8 +113,9 @@
     }
 }
 
-/// Sorts the direct requests by free CPUs, most first. No task is started on a machine before it has acknowledged the
-/// term, so where starts can't wait for the next report, machines with free capacity get the new term first.
+/// Sorts the direct requests by free CPUs, most first. No task is started on a machine before it
+/// has acknowledged the term, so where starts can't wait for the next report, machines with free
+/// capacity get the new term first.
 fn order_requests_by_free_capacity(leader: &mut LeaderState) {
     let LeaderState { direct_requests, machines, .. } = leader;
     let free_millicpus = |request: &DirectRequest| {
@@ -124,10 +127,10 @@
 
 /// Registers the records that can't be read, logs them and leaves them as they are. The job of an
 /// unreadable job record is neither started, cancelled nor accepted as new. A machine with an
-/// unreadable record may hold tasks of any job. Unreadable finished tasks are run again and recorded
-/// under another path. A job with an unreadable dependency list becomes unreadable itself. An
-/// unreadable rental is never requested again; machines that it has rented appear in reports and in
-/// the cloud's list.
+/// unreadable record may hold tasks of any job. Unreadable finished tasks are run again and
+/// recorded under another path. A job with an unreadable dependency list becomes unreadable itself.
+/// An unreadable rental is never requested again; machines that it has rented appear in reports and
+/// in the cloud's list.
 fn register_unreadable_records(leader: &mut LeaderState, unreadable: Vec<(String, u64)>) {
     for (path, revision) in unreadable {
         tracing::error!("the record {path} can't be read and is left as it is");
@@ -308,9 +311,9 @@
     for (path, record, revision) in packs {
         leader.write_queue.set_path_revision(path.clone(), Some(revision));
         let number = path.trim_start_matches("p/").parse().ok().map(PackId);
-        // A pack is rewritten as a whole. A pack with a machine that can't be used is left as it is, and its usable
-        // machines move to other packs with their next change. For a machine in several packs, one pack is kept and the
-        // others list it as a shadow.
+        // A pack is rewritten as a whole. A pack with a machine that can't be used is left as it
+        // is, and its usable machines move to other packs with their next change. For a machine in
+        // several packs, one pack is kept and the others list it as a shadow.
         let has_known_type_and_zone = |record: &MachineRecord| {
             leader.names.types.get(&record.machine_type).is_some()
                 && leader.names.zones.get(&record.zone).is_some()
--- a/crates/core/src/workers/completion.rs
+++ b/crates/core/src/workers/completion.rs
@@ -40,9 +40,9 @@
         }
         job.waiting.remove(task);
         let shows_job_runs = !job.known_to_run && job.failures > 0;
-        // A newer attempt that is already placed is stopped. In randomized tests, the `run` of such an attempt of a gang was
-        // never sent because the job was finished, and its assignment counted towards the team's limit until the leader's
-        // term ended.
+        // A newer attempt that is already placed is stopped. In randomized tests, the `run` of such
+        // an attempt of a gang was never sent because the job was finished, and its assignment
+        // counted towards the team's limit until the leader's term ended.
         let is_placed_again =
             job.spec.kind != JobKind::Service && job.placement_counts.contains_key(&task);
         let ver = self.mark_dirty(RecordKey::DoneChunk(id, chunk));
--- a/crates/core/src/workers/faults.rs
+++ b/crates/core/src/workers/faults.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Returns whether a task of this job has been running for more than twice the longest run of its
-    /// failed tasks, or twice the report interval if that is longer, plus 2 s.
+    /// Returns whether a task of this job has been running for more than twice the longest run of
+    /// its failed tasks, or twice the report interval if that is longer, plus 2 s.
     fn has_long_running_task(&self, id: JobId, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|job| job.running > 0) else { return false };
         let report_interval_ms = (self.settings.deployment.workers.report_s * 1000.0) as u64;
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Marks a job as known to run, and counts its earlier failures against the machines on which they
-    /// happened.
+    /// Marks a job as known to run, and counts its earlier failures against the machines on which
+    /// they happened.
     pub fn mark_known_to_run(&mut self, id: JobId, now: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.backoff_count > 0 {
@@ -105,9 +105,9 @@
     }
 
     /// Quarantines machines on which every task has been running far longer than its job's finished
-    /// tasks: at least three tasks, each past `MIN_MEAN_RUN_RATIO` times its job's mean run time and
-    /// past `MIN_LONGEST_RUN_RATIO` times its longest. The mean alone is not enough: where run times
-    /// vary much, the tasks that finish first say little about the others.
+    /// tasks: at least three tasks, each past `MIN_MEAN_RUN_RATIO` times its job's mean run time
+    /// and past `MIN_LONGEST_RUN_RATIO` times its longest. The mean alone is not enough: where run
+    /// times vary much, the tasks that finish first say little about the others.
     pub fn quarantine_slow_machines(&mut self, now: u64) {
         const MIN_MEAN_RUN_RATIO: f64 = 2.5;
         const MIN_LONGEST_RUN_RATIO: f64 = 1.5;
--- a/crates/core/src/workers/leases.rs
+++ b/crates/core/src/workers/leases.rs
@@ -6,8 +6,8 @@
 use copperhaven_recovery::Machine;
 
 impl LeaderState {
-    /// Removes all tasks from machines whose lease has certainly expired, and returns these machines.
-    /// Also resolves the unreadable records of machines whose lease is over.
+    /// Removes all tasks from machines whose lease has certainly expired, and returns these
+    /// machines. Also resolves the unreadable records of machines whose lease is over.
     pub fn expire_leases(&mut self, now: u64) -> Vec<MachineId> {
         let expired: Vec<MachineId> = self
             .machines
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of a machine's first report of this term with its record. The differences are only counted here, by
-//! outcome (`copperhaven_recovery::reconcile`); `on_report` acts on them.
+//! Reconciliation of a machine's first report of this term with its record. The differences are
+//! only counted here, by outcome (`copperhaven_recovery::reconcile`); `on_report` acts on them.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
@@ -12,7 +12,8 @@
 use std::collections::BTreeMap;
 
 impl LeaderState {
-    /// Compares the first report of this term from a machine with its record, and counts the outcomes.
+    /// Compares the first report of this term from a machine with its record, and counts the
+    /// outcomes.
     pub(super) fn reconcile_first_report(
         &mut self,
         machine_id: MachineId,
@@ -22,9 +23,10 @@
         self.recovery.machine_reported(Machine(machine_id.0), now);
         let Some(machine) = self.machines.get(&machine_id) else { return };
         let mut tasks: BTreeMap<(Option<JobId>, &str, u32), TaskComparison> = BTreeMap::new();
-        // No task is placed on a machine before its first report of this term, so all its assignments come from records.
-        // This includes assignments that a report of an earlier term has already confirmed: where workers reported every
-        // 8 s, leaving these out counted most tasks as not on record.
+        // No task is placed on a machine before its first report of this term, so all its
+        // assignments come from records. This includes assignments that a report of an earlier term
+        // has already confirmed: where workers reported every 8 s, leaving these out counted most
+        // tasks as not on record.
         for ((id, task), assignment) in &machine.assignments {
             let Some(job) = self.jobs.get(id) else { continue };
             let (job_open, recorded_done) = (job.is_open(), job.done.contains(*task));
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Counts the recorded tasks of all machines that have not reported in this term. Called once all
-    /// machines have reported or the time for it is over.
+    /// Counts the recorded tasks of all machines that have not reported in this term. Called once
+    /// all machines have reported or the time for it is over.
     pub fn close_reconciliation(&mut self) {
         let recorded_tasks =
             |machine: &crate::state::machine::Machine| machine.assignments.len() as u64;
--- a/crates/core/src/workers/report_requests.rs
+++ b/crates/core/src/workers/report_requests.rs
@@ -1,9 +1,10 @@
-//! Report requests, which make a worker report at once. A task is only started by the response to a report, because the
-//! report proves which tasks were on the machine before. Where the report interval is longer than starts may wait, the
-//! leader requests a report by sending an order that the worker has to refuse: to run a task of a job that cannot exist.
-//! The refusal changes the worker's task list, so it reports, and the response carries the starts. A report request that
-//! arrives late or twice starts nothing. A `run` sent directly could be executed minutes later, and until then its task
-//! could not be counted as absent.
+//! Report requests, which make a worker report at once. A task is only started by the response to a
+//! report, because the report proves which tasks were on the machine before. Where the report
+//! interval is longer than starts may wait, the leader requests a report by sending an order that
+//! the worker has to refuse: to run a task of a job that cannot exist. The refusal changes the
+//! worker's task list, so it reports, and the response carries the starts. A report request that
+//! arrives late or twice starts nothing. A `run` sent directly could be executed minutes later, and
+//! until then its task could not be counted as absent.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::{DirectRequest, Machine, ObservedState};
@@ -12,12 +13,12 @@
 use copperhaven_wire::workers::Order;
 
 /// Job id of report requests. No job can have it.
-const REQUEST_JOB_ID: &str = "nudge";
+const REQUEST_JOB: &str = "nudge";
 
 /// Returns an order that the worker refuses and lists in its next report.
 pub(super) fn report_request_order(attempt: u64) -> Order {
     // Each request has its own task id, as the worker may not have forgotten the previous one yet.
-    Order::Run { task_id: format!("{REQUEST_JOB_ID}/{}", attempt & 0xff_ffff), attempt }
+    Order::Run { task_id: format!("{REQUEST_JOB}/{}", attempt & 0xff_ffff), attempt }
 }
 
 impl LeaderState {
@@ -53,8 +54,8 @@
         })
     }
 
-    /// Returns whether a machine has saved `run`s that can only go with the response to its next report. False while a
-    /// report of it is unanswered, as that response carries them.
+    /// Returns whether a machine has saved `run`s that can only go with the response to its next
+    /// report. False while a report of it is unanswered, as that response carries them.
     fn has_unsent_runs(&self, machine_id: MachineId, machine: &Machine) -> bool {
         let key = RecordKey::Machine(machine_id);
         let unsent = |assignment: &crate::state::machine::Assignment| {
@@ -72,7 +73,8 @@
                 .any(|assignment| unsent(assignment) && self.is_saved(&key, assignment.ver))
     }
 
-    /// Returns whether a report request to this machine still serves a purpose. Checked before it is sent.
+    /// Returns whether a report request to this machine still serves a purpose. Checked before it
+    /// is sent.
     pub fn is_report_request_useful(&self, machine_id: MachineId) -> bool {
         self.machines
             .get(&machine_id)
@@ -109,15 +111,16 @@
         let (mut leader, machine_id) = leader_with_early_reports();
         assert_eq!(place_one_task(&mut leader), 1);
         let request = leader.direct_requests.pop().expect("one");
-        let is_request = |order: &Order| matches!(order, Order::Run { task_id, .. } if task_id.starts_with(REQUEST_JOB_ID));
+        let is_request =
+            |o: &Order| matches!(o, Order::Run { task_id, .. } if task_id.starts_with(REQUEST_JOB));
         assert!(
             request.orders.len() == 1 && request.orders.iter().all(is_request),
             "requests only, no start: {:?}",
             request.orders
         );
         assert!(leader.is_report_request_useful(machine_id));
-        // Another write of the record requests no second report. The response to the report carries the start, after which
-        // the request serves no purpose.
+        // Another write of the record requests no second report. The response to the report carries
+        // the start, after which the request serves no purpose.
         leader.mark_dirty(RecordKey::Machine(machine_id));
         commit(&mut leader);
         assert!(leader.direct_requests.is_empty());
@@ -154,8 +157,8 @@
 
     #[test]
     fn a_late_report_request_starts_nothing_and_counts_as_no_failure() {
-        // The worker executes the request minutes late, while or after the task runs: nothing is started because of it, and
-        // no failure is counted against the machine.
+        // The worker executes the request minutes late, while or after the task runs: nothing is
+        // started because of it, and no failure is counted against the machine.
         let (mut leader, machine_id) = leader_with_early_reports();
         place_one_task(&mut leader);
         for (sequence, tasks) in [
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Stops the tasks on a faulty or reclaimed machine, with time to save a checkpoint where that is
-    /// possible.
+    /// Stops the tasks on a faulty or reclaimed machine, with time to save a checkpoint where that
+    /// is possible.
     pub fn drain(&mut self, machine_id: MachineId, now: u64) {
         let Some(machine) = self.machines.get(&machine_id) else { return };
         let left_s =
@@ -125,8 +125,8 @@
             let can_save = job.spec.checkpoint_interval_s > 0.0
                 && assignment.observed == ObservedState::Running
                 && (!is_faulty || machine.slow);
-            // A task that cannot save a checkpoint runs on until the machine is reclaimed, as it may
-            // finish before. A checkpoint is saved as late as is safe.
+            // A task that cannot save a checkpoint runs on until the machine is reclaimed, as it
+            // may finish before. A checkpoint is saved as late as is safe.
             let can_wait = is_reclaimed && (!can_save || left_s > save_s + 5.0);
             if can_wait
                 && assignment.observed != ObservedState::NotReported
--- a/crates/core/src/workers/unresponsive.rs
+++ b/crates/core/src/workers/unresponsive.rs
@@ -1,10 +1,11 @@
-//! Unresponsive machines: their reports arrive, but responses and commands don't reach them. A report alone does not
-//! prove that the worker received the previous response; the effect of an order in that response does. Each response with
-//! an order therefore sets a delivery probe that the next report is checked for. After three failed probes in a row no
-//! more tasks are placed on the machine, and each response carries an order of its own as a probe, until one succeeds.
+//! Unresponsive machines: their reports arrive, but responses and commands don't reach them. A
+//! report alone does not prove that the worker received the previous response; the effect of an
+//! order in that response does. Each response with an order therefore sets a delivery probe that
+//! the next report is checked for. After three failed probes in a row no more tasks are placed on
+//! the machine, and each response carries an order of its own as a probe, until one succeeds.
 //!
-//! Safety does not depend on this: tasks that may be on such a machine count until a report or the end of its lease proves
-//! that they are gone, as on any other machine.
+//! Safety does not depend on this: tasks that may be on such a machine count until a report or the
+//! end of its lease proves that they are gone, as on any other machine.
 
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::Machine;
@@ -36,14 +37,16 @@
         self.placement_pending = true;
     }
 
-    /// Returns a probe for an unresponsive worker: an order that changes nothing but its next report.
+    /// Returns a probe for an unresponsive worker: an order that changes nothing but its next
+    /// report.
     pub(crate) fn delivery_probe(&mut self, machine_id: MachineId) -> Option<Order> {
         let is_unresponsive = self.machines.get(&machine_id)?.response_tracker.is_unresponsive();
         is_unresponsive.then(|| report_request_order(self.new_attempt()))
     }
 
-    /// Returns the machines to return to the cloud, a few at a time: those that have been unresponsive for two worker
-    /// leases and hold no tasks. New machines are rented when there is demand.
+    /// Returns the machines to return to the cloud, a few at a time: those that have been
+    /// unresponsive for two worker leases and hold no tasks. New machines are rented when there is
+    /// demand.
     pub(crate) fn unresponsive_machines_to_return(&self, now: u64) -> Vec<MachineId> {
         let max_returns = (self.machines.len() / MACHINES_PER_RETURN).max(1);
         let is_long_unresponsive = |machine: &Machine| {
@@ -74,8 +77,8 @@
     use crate::for_tests::*;
     use crate::state::response_tracker::ResponseTracker;
 
-    /// Simulates `count` reports of a worker that acts only on the responses for which `receives` returns true. Returns
-    /// the leader state and the number of responses that carried the task.
+    /// Simulates `count` reports of a worker that acts only on the responses for which `receives`
+    /// returns true. Returns the leader state and the number of responses that carried the task.
     fn simulate_reports(receives: impl Fn(u64) -> bool, count: u64) -> (LeaderState, usize) {
         let mut leader = cell();
         add_job(&mut leader, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
@@ -104,12 +107,14 @@
     #[test]
     fn a_machine_that_acts_on_none_of_three_responses_gets_no_tasks_until_it_does() {
         type Row = (&'static str, fn(u64) -> bool, u64, bool, usize);
-        // (case, which responses arrive, reports, unresponsive in the end, responses that carried the task)
+        // (case, which responses arrive, reports, unresponsive in the end, responses that carried
+        // the task)
         let rows: [Row; 5] = [
             ("responsive", |_| true, 8, false, 1),
             ("two are lost", |n| n > 2, 8, false, 3),
             ("none arrives", |_| false, 12, true, 3),
-            // Responses arrive from the ninth on: the probe of the eighth fails, that of the ninth succeeds.
+            // Responses arrive from the ninth on: the probe of the eighth fails, that of the ninth
+            // succeeds.
             ("responsive again", |n| n > 8, 12, false, 4),
             ("every third arrives", |n| n % 3 == 0, 12, false, 3),
         ];
