--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,7 @@
-//! All that a leader of copperhaven knows and decides, as functions of state, event and passed-in
-//! time: no socket, no clock, no thread. `takeover` puts the state together from the records,
-//! `state` holds it in parts with an owner each, and the slices act on it, each by its duty.
+//! The scheduling logic of a copperhaven leader as functions of state, event and a time that is
+//! passed in: it opens no sockets, reads no clock and starts no threads. `takeover` builds the
+//! state from the stored records, `state` holds it in parts with one owner each, and every other
+//! module implements one duty on it.
 
 pub mod admission;
 pub mod boot_tracking;
