--- a/crates/core/src/group_commit.rs
+++ b/crates/core/src/group_commit.rs
@@ -1,5 +1,6 @@
-//! Group commit: what the next transaction records, and what follows from its outcome (safety:
-//! durable first; an unknown outcome is read back).
+//! Group commit: builds the next transaction from the dirty records and applies its outcome to the
+//! state. Nothing is acted on or reported before it is recorded, and after an unknown outcome the
+//! records are re-read.
 
 use crate::records::FinalRecord;
 use crate::state::fairness_accounting;
@@ -12,113 +13,130 @@
 use crate::state::write_queue::{Batch, RecordKey};
 
 impl LeaderState {
-    /// Lists of machines are written in packs from here on. Those that have records of their own move at a pace.
+    /// Has machines recorded in packs from now on, if a value is long enough for packs. Machines with
+    /// records of their own are moved a few at a time by `migrate_machines_to_packs`.
     pub fn pack_machines(&mut self) {
         self.packs.enable(self.write_queue.value_limit);
         if !self.packs.is_enabled() {
             return self.unpack_machines();
         }
-        for (mid, m) in self.machines.iter() {
+        for (machine_id, m) in self.machines.iter() {
             if self.write_queue.has_path(&format!("m/{}", m.name)) {
-                self.packs.mark_unmoved(*mid);
+                self.packs.mark_unmoved(*machine_id);
             }
         }
     }
 
-    /// Lists of machines have records of their own again. What stands in packs moves.
+    /// Has every machine recorded in a record of its own again, and moves those that are in packs.
     pub fn unpack_machines(&mut self) {
         self.packs.disable();
-        for mid in self.packs.packed_machines() {
-            let ver = self.mark_dirty(RecordKey::Machine(mid));
-            self.packs.leave_pack(mid, ver);
+        for machine_id in self.packs.packed_machines() {
+            let ver = self.mark_dirty(RecordKey::Machine(machine_id));
+            self.packs.leave_pack(machine_id, ver);
         }
     }
 
-    /// Those that have something to record go to packs together.
-    fn regroup(&mut self) {
+    /// Moves dirty machines into common packs, so that few values have to be written.
+    fn regroup_dirty_machines(&mut self) {
         let dirty: Vec<DirtyMachine> = self
             .write_queue
             .dirty_machines()
-            .filter_map(|mid| Some((mid, self.record_bytes_used(self.machines.get(&mid)?))))
-            .filter(|(mid, bytes)| {
-                // One that is too long for a value by itself stays where it is, until it shrinks.
-                !(self.write_queue.is_held_back(&RecordKey::Machine(*mid))
+            .filter_map(|machine_id| {
+                Some((machine_id, self.record_bytes_used(self.machines.get(&machine_id)?)))
+            })
+            .filter(|(machine_id, bytes)| {
+                // A list that alone is too long for a value stays where it is until it has shrunk.
+                !(self.write_queue.is_held_back(&RecordKey::Machine(*machine_id))
                     && *bytes > self.write_queue.value_limit - PACK_OVERHEAD_BYTES)
             })
-            .map(|(mid, bytes)| DirtyMachine { machine_id: mid, bytes })
+            .map(|(machine_id, bytes)| DirtyMachine { machine_id, bytes })
             .collect();
         if dirty.is_empty() {
             return;
         }
-        let listed = |mid| self.machines.get(&mid).map_or(0, |m| self.record_bytes_used(m));
-        let moves = self.packs.plan_moves(&dirty, self.write_queue.value_limit, listed);
-        for (mid, pack) in moves {
-            let ver = self.mark_dirty(RecordKey::Machine(mid));
-            self.packs.move_to(mid, pack, ver);
+        let list_bytes =
+            |machine_id| self.machines.get(&machine_id).map_or(0, |m| self.record_bytes_used(m));
+        let moves = self.packs.plan_moves(&dirty, self.write_queue.value_limit, list_bytes);
+        for (machine_id, pack) in moves {
+            let ver = self.mark_dirty(RecordKey::Machine(machine_id));
+            self.packs.move_to(machine_id, pack, ver);
         }
     }
 
-    /// Has the next lists moved that still have records of their own, so many at a time. Done, it finds none.
-    pub fn migrate_machines_to_packs(&mut self, most: usize) {
-        for _ in 0..most {
-            let Some(mid) = self.packs.pop_unmoved() else { return };
-            self.mark_dirty(RecordKey::Machine(mid));
+    /// Moves up to `max` of the machines that still have records of their own into packs; does nothing
+    /// once all are moved.
+    pub fn migrate_machines_to_packs(&mut self, max: usize) {
+        for _ in 0..max {
+            let Some(machine_id) = self.packs.pop_unmoved() else { return };
+            self.mark_dirty(RecordKey::Machine(machine_id));
         }
     }
 
-    /// The next transaction: at most `ops` changes, the most urgent keys first.
+    /// Returns the next transaction: at most `ops` changes, the most urgent keys first. None if there
+    /// is nothing to write.
     pub fn next_batch(&mut self, ops: usize) -> Option<Batch> {
         self.next_batch_with_reserve(ops, 0)
     }
 
-    /// The same, with so many of the changes left to what users wait for.
+    /// Like `next_batch`, with `reserve` of the changes kept free for records that users wait for.
     pub fn next_batch_with_reserve(&mut self, ops: usize, reserve: usize) -> Option<Batch> {
         if self.packs.is_enabled() {
-            self.regroup();
+            self.regroup_dirty_machines();
         }
         let LeaderState {
-            write_queue: ledger,
+            write_queue,
             jobs,
             machines,
-            dependencies: links,
+            dependencies,
             fleet,
             names,
-            unreadable: aside,
-            fairness_ledger: service,
+            unreadable,
+            fairness_ledger,
             packs,
             ..
         } = self;
-        let draft = ledger.draft_batch(
-            &RecordRenderer { jobs, machines, links, fleet, names, aside, service, packs },
+        let draft = write_queue.draft_batch(
+            &RecordRenderer {
+                jobs,
+                machines,
+                links: dependencies,
+                fleet,
+                names,
+                aside: unreadable,
+                service: fairness_ledger,
+                packs,
+            },
             ops,
             reserve,
         );
         for key in draft.oversized {
             self.write_queue.hold_back(&key);
-            if let RecordKey::Machine(mid) = key {
-                self.unassign(mid);
+            if let RecordKey::Machine(machine_id) = key {
+                self.unassign_unsent(machine_id);
             }
         }
         draft.batch
     }
 
-    /// A transaction was called malformed or too large. False: it was one of several.
+    /// Handles a transaction that was refused as malformed or too large. Returns whether it wrote a
+    /// single value, which is then given up; the records of several values are retried one by one.
     pub fn on_malformed(&mut self, batch: &Batch) -> bool {
         let given_up = self.write_queue.batch_rejected(batch);
         for key in batch.keys.iter().filter(|_| given_up.is_some()) {
-            if let RecordKey::Machine(mid) = key {
-                self.unassign(*mid);
+            if let RecordKey::Machine(machine_id) = key {
+                self.unassign_unsent(*machine_id);
             }
         }
         given_up.is_some()
     }
 
-    /// A transaction was applied at `rev`.
+    /// Handles a transaction that was applied at revision `rev`.
     pub fn on_applied(&mut self, batch: &Batch, rev: u64) {
         for change in &batch.changes {
             let number = change.path().strip_prefix("p/").and_then(|n| n.parse().ok());
             if let Some(pack) = number.map(PackId) {
-                // As it was rendered: before this transaction makes anything else safe.
+                // The pack lists what it was rendered with, so this comes before any other record of
+                // the transaction is marked as saved.
                 self.packs.pack_rewritten(pack);
             }
         }
@@ -133,7 +151,7 @@
                         }
                         let done = job.final_ver.is_some() && !job.is_cancelled();
                         if job.is_cancelled() || done {
-                            // Both are recorded if they were decided before it was rendered.
+                            // Each of the two is recorded if it was set before the record was rendered.
                             let ver = job.cancel_ver.or(job.final_ver);
                             if ver.is_some_and(|v| v <= batch.ver) {
                                 self.dependencies.record_outcome(job.spec.uid.clone(), done);
@@ -155,12 +173,12 @@
                         job.unsaved.retain(|t, v| t / DONE_CHUNK_TASKS != *chunk || *v > batch.ver);
                     }
                 }
-                RecordKey::Machine(mid) => {
-                    if !self.machines.contains_key(mid) {
+                RecordKey::Machine(machine_id) => {
+                    if !self.machines.contains_key(machine_id) {
                         self.write_queue.clear_saved(key);
                     }
-                    self.packs.mark_list_saved(*mid, batch.ver);
-                    for pack in self.packs.stale_packs(*mid) {
+                    self.packs.mark_list_saved(*machine_id, batch.ver);
+                    for pack in self.packs.stale_packs(*machine_id) {
                         self.mark_dirty(RecordKey::Pack(pack));
                     }
                 }
@@ -173,50 +191,54 @@
         }
     }
 
-    /// A condition on `key` failed, and it was read back: its version, and what it says if it is
-    /// a final record.
+    /// Handles a failed condition on `key` after a re-read: `revision` is the key's revision now, none
+    /// if it doesn't exist, and `final_record` its value if it is a final record.
     pub fn on_condition_failed(
         &mut self,
         key: &str,
-        stamp: Option<u64>,
-        last: Option<FinalRecord>,
+        revision: Option<u64>,
+        final_record: Option<FinalRecord>,
     ) {
-        if let (Some(uid), Some(last)) = (key.strip_prefix("f/"), last)
-            && let Some(id) = self.unaccepted(uid)
+        if let (Some(uid), Some(record)) = (key.strip_prefix("f/"), final_record)
+            && let Some(id) = self.unaccepted_job(uid)
         {
-            // Taken for new, but over long since: nothing of it was started or told.
-            self.final_records.insert(uid.into(), last);
-            self.drop_unaccepted(id);
+            // The job was taken for a new one, but had finished before: none of its tasks was
+            // started, and nothing was reported to users.
+            self.final_records.insert(uid.into(), record);
+            self.drop_unaccepted_job(id);
             return;
         }
-        self.write_queue.set_path_revision(key.into(), stamp);
+        self.write_queue.set_path_revision(key.into(), revision);
     }
 
-    /// A job that was taken for new is over, but how can't be read: it is set aside, and nothing of it
-    /// was started or told.
+    /// Drops a job that was taken for a new one but has a final record, which can't be read, and notes
+    /// it as unreadable. None of its tasks was started, and nothing was reported to users.
     pub fn abandon_unreadable_job(&mut self, uid: &str) {
-        if let Some(id) = self.unaccepted(uid) {
-            self.drop_unaccepted(id);
+        if let Some(id) = self.unaccepted_job(uid) {
+            self.drop_unaccepted_job(id);
             self.unreadable.add_job(uid, format!("its record f/{uid} can't be read"));
         }
     }
 
-    /// The job of this id, if it was taken in and is not accepted yet.
-    fn unaccepted(&self, uid: &str) -> Option<JobId> {
+    /// Returns the job of this id if it was added and is not accepted (recorded) yet.
+    fn unaccepted_job(&self, uid: &str) -> Option<JobId> {
         let (id, job) = self.job(uid)?;
         (!self.is_accepted(id, job)).then_some(id)
     }
 
-    fn drop_unaccepted(&mut self, id: JobId) {
-        let on: Vec<(MachineId, u32)> = self
+    /// Removes a job that is not accepted, with everything that was queued or planned for it.
+    fn drop_unaccepted_job(&mut self, id: JobId) {
+        let assigned: Vec<(MachineId, u32)> = self
             .machines
             .iter()
-            .flat_map(|(mid, m)| {
-                m.assignments.range((id, 0)..=(id, u32::MAX)).map(|((_, task), _)| (*mid, *task))
+            .flat_map(|(machine_id, m)| {
+                m.assignments
+                    .range((id, 0)..=(id, u32::MAX))
+                    .map(|((_, task), _)| (*machine_id, *task))
             })
             .collect();
-        for (mid, task) in on {
-            self.detach(mid, id, task);
+        for (machine_id, task) in assigned {
+            self.detach(machine_id, id, task);
         }
         let Some(job) = self.jobs.remove(&id) else { return };
         self.queue.remove(&(job.eligible_at_ms, id));
@@ -231,23 +253,23 @@
         }
     }
 
-    /// Takes off a machine's list what has not been sent to it yet.
-    fn unassign(&mut self, mid: MachineId) {
-        let Some(m) = self.machines.get(&mid) else { return };
-        let key = RecordKey::Machine(mid);
+    /// Removes the assignments of a machine that are neither recorded nor sent to it yet.
+    fn unassign_unsent(&mut self, machine_id: MachineId) {
+        let Some(m) = self.machines.get(&machine_id) else { return };
+        let key = RecordKey::Machine(machine_id);
         let unsent: Vec<(JobId, u32)> = m
             .assignments
             .iter()
-            .filter(|(_, e)| {
-                e.run_sent_with.is_none()
-                    && !e.unconfirmed
-                    && e.observed == ObservedState::NotReported
+            .filter(|(_, a)| {
+                a.run_sent_with.is_none()
+                    && !a.unconfirmed
+                    && a.observed == ObservedState::NotReported
             })
-            .filter(|(_, e)| !self.is_saved(&key, e.ver))
-            .map(|(k, _)| *k)
+            .filter(|(_, a)| !self.is_saved(&key, a.ver))
+            .map(|(job_and_task, _)| *job_and_task)
             .collect();
         for (id, task) in unsent {
-            self.detach(mid, id, task);
+            self.detach(machine_id, id, task);
             self.handle_lost_task(id);
         }
     }
--- a/crates/core/src/job_status.rs
+++ b/crates/core/src/job_status.rs
@@ -1,4 +1,4 @@
-//! What users are told of a job, and why it waits.
+//! The status of a job as reported to users, with the reason for which it waits.
 
 use crate::records::FinalRecord;
 use crate::state::job::{Job, WaitReason};
@@ -8,34 +8,38 @@
 use crate::state::write_queue::RecordKey;
 use copperhaven_wire::jobs::{BlockingJob, JobStatus};
 
-/// So many of the jobs that one waits for are told to whoever asks.
-const TOLD: usize = 20;
-/// So many steps back the one that holds a pipeline up is looked for.
-const STEPS: usize = 1000;
+/// Maximum number of pending dependencies that are listed in an answer.
+const MAX_LISTED_DEPENDENCIES: usize = 20;
+/// Maximum number of steps along the dependencies in the search for the job that blocks a pipeline.
+const MAX_BLOCKER_SEARCH_STEPS: usize = 1000;
 
 impl LeaderState {
+    /// Returns the status of a job, or none if it is not in memory, not accepted yet, or its status is
+    /// not certain now.
     pub fn job_status(&self, uid: &str) -> Option<JobStatus> {
         if let Some((id, job)) = self.job(uid) {
             if !self.is_accepted(id, job) {
                 return None;
             }
             let key = RecordKey::Job(id);
-            // Sent, and not known to be applied: others may have read it, and told.
-            let on_its_way =
+            // A record was sent and is not known to be applied: other controllers may have read it and
+            // reported it to users.
+            let may_be_applied =
                 |v: Option<u64>| v.is_some_and(|v| self.write_queue.may_be_applied(&key, v));
-            if on_its_way(job.cancel_ver) || on_its_way(job.final_ver) {
+            if may_be_applied(job.cancel_ver) || may_be_applied(job.final_ver) {
                 return None;
             }
             let saved = |v: Option<u64>| v.is_some_and(|v| self.is_saved(&key, v));
-            // What it waits for may have been cancelled, which others may have told its user: also while its own
-            // cancellation is being recorded (found by a random schedule: it went back to queued).
-            let unsure = || {
+            // A dependency may have been cancelled, and other controllers may have reported to the user
+            // that this job is aborted. This holds also while the job's own cancellation is being
+            // recorded: a random schedule found a job that went back from aborted to queued.
+            let may_be_aborted = || {
                 job.is_cancelled()
                     || job.outcome_unknown
                     || !self.dependencies.is_settled()
                     || self.may_cancel_others()
             };
-            if !saved(job.cancel_ver) && !job.pending_dependencies.is_empty() && unsure() {
+            if !saved(job.cancel_ver) && !job.pending_dependencies.is_empty() && may_be_aborted() {
                 return None;
             }
             let status = if saved(job.cancel_ver) {
@@ -47,70 +51,80 @@
             } else {
                 "queued"
             };
-            let why = (status == "queued" || !job.waiting.is_empty())
+            let reason = (status == "queued" || !job.waiting.is_empty())
                 .then(|| self.wait_reason(id, job).text().to_string())
-                .filter(|w| !w.is_empty() && job.is_open());
-            let mut shown = JobStatus {
+                .filter(|text| !text.is_empty() && job.is_open());
+            let mut job_status = JobStatus {
                 done: u64::from(job.done.len()),
                 running: u64::from(job.running),
-                reason: why,
+                reason,
                 ..JobStatus::new(uid, status)
             };
             if job.is_open() && !job.pending_dependencies.is_empty() {
-                self.show_waiting(job, &mut shown);
+                self.show_waiting(job, &mut job_status);
             }
-            return Some(shown);
+            return Some(job_status);
         }
-        self.final_records.get(uid).map(|f| final_status(uid, f))
+        self.final_records.get(uid).map(|record| final_status(uid, record))
     }
 
-    /// May a cancellation be applied, without being known to be, of a job that others wait for?
+    /// Returns whether a cancellation of a job with dependents was sent whose outcome is not known.
     fn may_cancel_others(&self) -> bool {
-        let mut sent = self.write_queue.in_doubt().filter_map(|id| self.jobs.get(&id));
-        sent.any(|job| job.is_cancelled() && self.dependencies.dependent_count(&job.spec.uid) > 0)
+        let mut outcome_unknown = self.write_queue.in_doubt().filter_map(|id| self.jobs.get(&id));
+        outcome_unknown
+            .any(|job| job.is_cancelled() && self.dependencies.dependent_count(&job.spec.uid) > 0)
     }
 
-    /// Why a job waits. Looked up when somebody asks: where its tasks are all on machines and
-    /// still don't run, the machines tell.
+    /// Returns the reason for which a job waits. If all its tasks are assigned and none runs, it is
+    /// derived from the assignments on each call.
     pub fn wait_reason(&self, id: JobId, job: &Job) -> WaitReason {
         if !job.waiting.is_empty() || job.running > 0 || job.placement_counts.is_empty() {
             return job.wait_reason;
         }
-        let mut wait = WaitReason::Image;
+        let mut reason = WaitReason::Image;
         for m in self.machines.values() {
-            for (_, e) in m.assignments.range((id, 0)..=(id, u32::MAX)) {
-                match e.observed {
-                    _ if e.stop_requested.is_some() => wait = WaitReason::Stopping,
-                    ObservedState::NotReported if e.unconfirmed => {
-                        wait = WaitReason::UnheardMachine
+            for (_, assignment) in m.assignments.range((id, 0)..=(id, u32::MAX)) {
+                match assignment.observed {
+                    _ if assignment.stop_requested.is_some() => reason = WaitReason::Stopping,
+                    ObservedState::NotReported if assignment.unconfirmed => {
+                        reason = WaitReason::UnheardMachine
                     }
-                    ObservedState::Waiting if wait == WaitReason::Image => {
-                        wait = WaitReason::GangMembers
+                    ObservedState::Waiting if reason == WaitReason::Image => {
+                        reason = WaitReason::GangMembers
                     }
                     _ => {}
                 }
             }
         }
-        wait
+        reason
     }
 
-    /// Tells for which jobs a waiting one waits, and which step holds it back.
-    pub fn show_waiting(&self, job: &Job, shown: &mut JobStatus) {
-        shown.pending_dependencies =
-            job.pending_dependencies.iter().take(TOLD).map(ToString::to_string).collect();
-        shown.pending_dependency_count = job.pending_dependencies.len() as u64;
-        let mut at = job;
-        for _ in 0..STEPS {
-            let open = at.pending_dependencies.iter().take(TOLD).filter_map(|uid| self.job(uid));
+    /// Adds to the status of a waiting job its pending dependencies and the job that blocks it: the one
+    /// reached by following, from job to job, the dependency that is expected to end last.
+    pub fn show_waiting(&self, job: &Job, job_status: &mut JobStatus) {
+        job_status.pending_dependencies = job
+            .pending_dependencies
+            .iter()
+            .take(MAX_LISTED_DEPENDENCIES)
+            .map(ToString::to_string)
+            .collect();
+        job_status.pending_dependency_count = job.pending_dependencies.len() as u64;
+        let mut current = job;
+        for _ in 0..MAX_BLOCKER_SEARCH_STEPS {
+            let open = current
+                .pending_dependencies
+                .iter()
+                .take(MAX_LISTED_DEPENDENCIES)
+                .filter_map(|uid| self.job(uid));
             let Some((id, next)) = open.max_by_key(|(_, j)| j.eta) else { return };
-            at = next;
-            if at.pending_dependencies.is_empty() {
-                let why = self.wait_reason(id, at).text();
-                shown.blocked_by = Some(BlockingJob {
-                    uid: at.spec.uid.to_string(),
-                    class: at.body.class.clone(),
-                    status: if at.running > 0 { "running" } else { "queued" }.into(),
-                    reason: (!why.is_empty()).then(|| why.to_string()),
+            current = next;
+            if current.pending_dependencies.is_empty() {
+                let reason = self.wait_reason(id, current).text();
+                job_status.blocked_by = Some(BlockingJob {
+                    uid: current.spec.uid.to_string(),
+                    class: current.body.class.clone(),
+                    status: if current.running > 0 { "running" } else { "queued" }.into(),
+                    reason: (!reason.is_empty()).then(|| reason.to_string()),
                 });
                 return;
             }
@@ -118,7 +132,8 @@
     }
 }
 
-pub fn final_status(uid: &str, f: &FinalRecord) -> JobStatus {
-    let status = if f.done { "done" } else { "aborted" };
-    JobStatus { done: u64::from(f.tasks), ..JobStatus::new(uid, status) }
+/// Returns the status of a finished job.
+pub fn final_status(uid: &str, record: &FinalRecord) -> JobStatus {
+    let status = if record.done { "done" } else { "aborted" };
+    JobStatus { done: u64::from(record.tasks), ..JobStatus::new(uid, status) }
 }
