--- a/crates/core/src/boot_tracking.rs
+++ b/crates/core/src/boot_tracking.rs
@@ -1,115 +1,126 @@
-//! Machines that boot, those that are overdue, and zones from which nothing is heard.
+//! Booting machines, overdue boots, and silent zones, whose machines have all stopped reporting.
 
 use crate::state::fleet::{Booting, RentalKind};
 use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 use std::collections::HashSet;
 
-/// How often a zone from which nothing is heard gets a machine nevertheless.
-const PROBE_MS: u64 = 45_000;
+/// Interval at which one machine is rented in a silent zone to test whether it reports.
+const SILENT_ZONE_PROBE_INTERVAL_MS: u64 = 45_000;
 
 impl LeaderState {
-    /// Takes note of zones from which nothing is heard though machines should be up there: what is
-    /// rented in them could not be used. That a zone is dark outlasts its machines, which go back
-    /// once their leases have run out; it ends with a report from the zone, or with a controller
-    /// there that is reached (`reached`, by zone).
-    pub fn update_silent_zones(&mut self, reached: &[ZoneId], now: u64) {
-        let silence = self.report_timeout_ms();
-        let mut heard = vec![(0, 0, 0); self.names.zones.len()];
+    /// Marks zones as silent that have two or more machines of which none reports: machines rented
+    /// there could not be used. A zone stays silent after its machines are returned, which happens
+    /// once their leases are over; it ends with a report from the zone, or when a controller there is
+    /// reachable (`reachable_zones`).
+    pub fn update_silent_zones(&mut self, reachable_zones: &[ZoneId], now: u64) {
+        let report_timeout_ms = self.report_timeout_ms();
+        // By zone: machines, those that report in time, and the time of the last report.
+        let mut zone_reports = vec![(0, 0, 0); self.names.zones.len()];
         for m in self.machines.values() {
-            let z = &mut heard[m.zone.index()];
+            let z = &mut zone_reports[m.zone.index()];
             z.0 += 1;
-            z.1 += u32::from(now < m.last_report_at.max(self.took_over_at) + silence);
+            z.1 += u32::from(now < m.last_report_at.max(self.took_over_at) + report_timeout_ms);
             z.2 = z.2.max(m.last_report_at);
         }
-        let quiet: Vec<bool> = heard.iter().map(|(up, well, _)| *up >= 2 && *well == 0).collect();
-        // With all of them quiet the fault is on this side.
-        let all = heard.iter().all(|(up, well, _)| *up == 0 || *well == 0);
-        for (i, (_, _, last)) in heard.iter().enumerate() {
+        let silent: Vec<bool> = zone_reports
+            .iter()
+            .map(|(machines, reporting, _)| *machines >= 2 && *reporting == 0)
+            .collect();
+        // If all zones are silent the fault is on the leader's side.
+        let all_silent =
+            zone_reports.iter().all(|(machines, reporting, _)| *machines == 0 || *reporting == 0);
+        for (i, (_, _, last_report_at)) in zone_reports.iter().enumerate() {
             let zone = ZoneId::from(i);
-            if quiet[i] && !all {
+            if silent[i] && !all_silent {
                 self.fleet.silent_zones.entry(zone).or_insert((now, now));
             } else if let Some((since, _)) = self.fleet.silent_zones.get(&zone)
-                && (last > since || reached.contains(&zone))
+                && (last_report_at > since || reachable_zones.contains(&zone))
             {
                 self.fleet.silent_zones.remove(&zone);
             }
         }
     }
 
-    /// Zones in which nothing is rented for now.
+    /// Returns for each zone whether it is silent; nothing is rented in silent zones, except probes.
     pub(crate) fn silent_zones(&self) -> Vec<bool> {
         (0..self.names.zones.len())
             .map(|z| self.fleet.silent_zones.contains_key(&ZoneId::from(z)))
             .collect()
     }
 
-    /// Machines whose boot is overdue, and the places where none has come up in time since.
+    /// Returns the machines whose boot is overdue, and their pairs of type and zone in which no boot
+    /// has finished since the deadline.
     pub fn overdue_boots(&self, now: u64) -> (Vec<&str>, HashSet<(TypeId, ZoneId)>) {
-        let (mut names, mut places) = (vec![], HashSet::new());
+        let (mut names, mut late_pools) = (vec![], HashSet::new());
         for (name, b) in &self.fleet.booting {
-            let nominal = self.machine_types[b.machine_type.index()].boot_s;
-            let due =
-                b.requested_at + self.fleet.boot_deadline_ms(b.machine_type, b.zone, nominal, now);
-            // To a new leader the list shows machines that are up and have not reported to it yet.
+            let nominal_s = self.machine_types[b.machine_type.index()].boot_s;
+            let due = b.requested_at
+                + self.fleet.boot_deadline_ms(b.machine_type, b.zone, nominal_s, now);
+            // The cloud's list also shows machines that are up but have not reported to a new leader
+            // yet.
             let due = due.max(b.known_since + self.report_timeout_ms());
             if now > due {
                 names.push(name.as_str());
-                let seen = self.fleet.recent_boots.get(&(b.machine_type, b.zone));
-                if seen.and_then(|s| s.back()).is_none_or(|(at, _)| *at < due) {
-                    places.insert((b.machine_type, b.zone));
+                let recent = self.fleet.recent_boots.get(&(b.machine_type, b.zone));
+                if recent.and_then(|boots| boots.back()).is_none_or(|(at, _)| *at < due) {
+                    late_pools.insert((b.machine_type, b.zone));
                 }
             }
         }
-        (names, places)
+        (names, late_pools)
     }
 
-    /// Booting machines that work may count on. One that is overdue is replaced where machines of
-    /// its type still come up in time somewhere; where they do nowhere, its replacement would be
-    /// as late, and a flood of them would only have to be paid for.
+    /// Returns the booting machines that waiting work may count on. An overdue machine is replaced, so
+    /// left out, where machines of its type still boot in time in some zone. Where they do in none,
+    /// its replacement would be as late, and many replacements would only cost money. At most one more
+    /// than a quarter of the other machines are replaced at a time.
     pub fn viable_boots(&self, now: u64) -> Vec<&Booting> {
-        let (overdue, late) = self.overdue_boots(now);
-        let elsewhere = |b: &Booting| {
+        let (overdue, late_pools) = self.overdue_boots(now);
+        let has_timely_zone = |b: &Booting| {
             let zones = &self.machine_types[b.machine_type.index()].zones;
-            let sound = |z: &&ZoneId| {
-                !late.contains(&(b.machine_type, **z)) && !self.fleet.silent_zones.contains_key(*z)
+            let is_timely = |z: &&ZoneId| {
+                !late_pools.contains(&(b.machine_type, **z))
+                    && !self.fleet.silent_zones.contains_key(*z)
             };
-            zones.iter().any(|z| sound(&z))
+            zones.iter().any(|z| is_timely(&z))
         };
-        let others = self.machines.len() + self.fleet.booting.len() - overdue.len();
-        let overdue: HashSet<&str> = overdue.into_iter().take(others / 4 + 1).collect();
+        let not_overdue = self.machines.len() + self.fleet.booting.len() - overdue.len();
+        let replaceable: HashSet<&str> = overdue.into_iter().take(not_overdue / 4 + 1).collect();
         let booting = self.fleet.booting.iter();
-        let counts = |name: &str, b: &Booting| !overdue.contains(name) || !elsewhere(b);
-        booting.filter(|(name, b)| counts(name, b)).map(|(_, b)| b).collect()
+        let is_viable =
+            |name: &str, b: &Booting| !replaceable.contains(name) || !has_timely_zone(b);
+        booting.filter(|(name, b)| is_viable(name, b)).map(|(_, b)| b).collect()
     }
 
-    /// Tells operators when boots begin and cease to be overdue.
+    /// Logs when boots begin to be overdue and when none is any more.
     pub fn log_overdue_boots(&mut self, now: u64) {
         let n = self.overdue_boots(now).0.len();
         if n > 0 && self.fleet.overdue_boots == 0 {
-            tracing::warn!("{n} machines are overdue: others are rented in their stead");
+            tracing::warn!("{n} booting machines are overdue: replacements are rented");
         } else if n == 0 && self.fleet.overdue_boots > 0 {
-            tracing::info!("no machine is overdue any more");
+            tracing::info!("no booting machine is overdue any more");
         }
         self.fleet.overdue_boots = n;
     }
 
-    /// Now and then a dark zone gets one machine, to see whether it is heard.
+    /// Returns a rental of one machine of the cheapest type in a silent zone that is due for a probe: a
+    /// report from the machine shows that the zone is reachable again.
     pub(crate) fn probe_silent_zone(&mut self, now: u64) -> Option<(RentalKind, u32)> {
         let (zone, _) = self
             .fleet
             .silent_zones
             .iter()
-            .map(|(zone, (_, tried))| (*zone, *tried))
-            .find(|(_, tried)| now > tried + PROBE_MS)?;
+            .map(|(zone, (_, last_probe_at))| (*zone, *last_probe_at))
+            .find(|(_, last_probe_at)| now > last_probe_at + SILENT_ZONE_PROBE_INTERVAL_MS)?;
         let cheapest = |a: &usize, b: &usize| {
             self.machine_types[*a].hourly.total_cmp(&self.machine_types[*b].hourly)
         };
-        let there = |i: &usize| self.machine_types[*i].zones.contains(&zone);
-        let kind = (0..self.machine_types.len()).filter(there).min_by(cheapest)?;
-        if let Some((_, tried)) = self.fleet.silent_zones.get_mut(&zone) {
-            *tried = now;
+        let is_offered = |i: &usize| self.machine_types[*i].zones.contains(&zone);
+        let machine_type = (0..self.machine_types.len()).filter(is_offered).min_by(cheapest)?;
+        if let Some((_, last_probe_at)) = self.fleet.silent_zones.get_mut(&zone) {
+            *last_probe_at = now;
         }
-        Some(((TypeId::from(kind), zone, false), 1))
+        Some(((TypeId::from(machine_type), zone, false), 1))
     }
 }
--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -1,51 +1,57 @@
-//! How often something outside may be called.
+//! Limits the rate of calls to an external service.
 
-/// Calls to the cloud that may be made now: paced below its limit, with room for a burst.
+/// A token bucket for calls to a service such as the cloud: it refills at 80 % of the service's limit
+/// and allows bursts. One token stands for one call.
 #[derive(Debug)]
 pub struct RateLimiter {
     rps: f64,
     tokens: f64,
-    at: u64,
+    refilled_at: u64,
 }
 
 impl RateLimiter {
+    /// Creates a limiter for a service that allows `rps` calls per second.
     pub fn new(rps: f64, now: u64) -> RateLimiter {
-        // An earlier leader may just have used up what a burst allows.
-        RateLimiter { rps, tokens: rps, at: now }
+        // Starts with one second's worth: an earlier leader may have just used up the burst that the
+        // service allows.
+        RateLimiter { rps, tokens: rps, refilled_at: now }
     }
 
-    /// The cloud allows two seconds' worth at once; a second's worth is left alone.
+    /// Adds the tokens for the time since the last refill, up to one second's worth: the cloud allows
+    /// bursts of two seconds' worth, of which one is left unused.
     pub fn refill(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64 / 1000.0;
-        self.at = now;
-        self.tokens = (self.tokens + passed * self.rps * 0.8).min(self.rps.max(1.0));
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed_s * self.rps * 0.8).min(self.rps.max(1.0));
     }
 
-    /// What is added in a second.
+    /// Returns the number of tokens added per second.
     pub fn refill_per_s(&self) -> f64 {
         self.rps * 0.8
     }
 
-    /// What may be left at most.
+    /// Returns the maximum number of tokens, at least one.
     pub fn burst(&self) -> usize {
         self.rps.max(1.0) as usize
     }
 
+    /// Returns the number of calls that may be made now.
     pub fn available(&self) -> usize {
         self.tokens.max(0.0) as usize
     }
 
-    /// What was taken and not needed.
+    /// Returns `n` tokens that were taken but not used.
     pub fn refund(&mut self, n: usize) {
         self.tokens = (self.tokens + n as f64).min(self.rps.max(1.0));
     }
 
+    /// Takes one token; returns whether there was one.
     pub fn try_take(&mut self) -> bool {
-        let some = self.tokens >= 1.0;
-        if some {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
             self.tokens -= 1.0;
         }
-        some
+        has_token
     }
 }
 
@@ -54,22 +60,22 @@
     use super::*;
 
     #[test]
-    fn calls_are_paced_below_the_limit() {
-        // Several rentals go out at once, but never more than the cloud's burst allows, whatever
-        // an earlier leader has just used up.
-        let mut pace = RateLimiter::new(5.0, 1000);
-        let burst = |p: &mut RateLimiter| (0..100).filter(|_| p.try_take()).count();
-        assert_eq!(burst(&mut pace), 5);
+    fn calls_stay_below_the_rate_limit() {
+        // Several rentals are requested at once, but never more than the cloud's burst allows, even if
+        // an earlier leader has just used up a part of it.
+        let mut limiter = RateLimiter::new(5.0, 1000);
+        let take_all = |l: &mut RateLimiter| (0..100).filter(|_| l.try_take()).count();
+        assert_eq!(take_all(&mut limiter), 5);
         let cases = [(1100, 0), (2100, 4), (60_000, 5)];
         for (at, calls) in cases {
-            pace.refill(at);
-            assert_eq!(pace.available(), calls, "{at}");
-            assert_eq!(burst(&mut pace), calls, "{at}");
+            limiter.refill(at);
+            assert_eq!(limiter.available(), calls, "{at}");
+            assert_eq!(take_all(&mut limiter), calls, "{at}");
         }
-        // A cloud with less than one call a second is still asked.
+        // A cloud that allows less than one call per second is still called.
         let mut slow = RateLimiter::new(0.2, 0);
-        assert_eq!(burst(&mut slow), 0);
+        assert_eq!(take_all(&mut slow), 0);
         slow.refill(7_000);
-        assert_eq!(burst(&mut slow), 1);
+        assert_eq!(take_all(&mut slow), 1);
     }
 }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -351,7 +351,7 @@
     out
 }
 
-/// Decodes start, length, start, length… A length counts as at most 100,000, the most tasks of a job,
+/// Decodes start, length, start, length… A length counts as at most 100,000, the task limit of a job,
 /// so that a malformed record can't make the iteration endless.
 pub fn from_ranges(ranges: &[u32]) -> impl Iterator<Item = u32> + '_ {
     ranges.chunks_exact(2).flat_map(|c| c[0]..c[0].saturating_add(c[1].min(100_000)))
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -295,8 +295,8 @@
 const MAX_CLOCK_DRIFT_RATIO: f64 = 1.002;
 
 /// Time between the end of the last task that a cut-off leader may have renewed and the end of
-/// `cancel_s`: covers late timers, the interval at which a worker checks its lease, and the offset of
-/// users' clocks.
+/// `cancel_s`: covers late timers, late lease checks by workers, and the offset of users'
+/// clocks.
 const RENEWAL_GRACE_MARGIN_S: f64 = 1.0;
 
 /// Minimum of the value limit: a value must hold a job's record or a quarter of the finished ranges
