--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -1,4 +1,4 @@
-//! Machines with what is free on them, and which of them a job may use.
+//! Free capacity of machines, and which machines a job may use.
 
 use crate::state::job::{EPS, JobSpec};
 use crate::state::leader_state::LeaderState;
@@ -8,30 +8,39 @@
 use copperhaven_recovery::Machine;
 use smallvec::SmallVec;
 
-/// Images on a machine, mostly so few that none of them needs memory of its own.
+/// Images on a machine, usually few enough to be stored inline without an allocation.
 pub type Images = SmallVec<[ImageId; 6]>;
 
-/// A machine with what is free on it.
+/// A machine and its free capacity.
 #[derive(Debug, Clone)]
 pub struct FreeCapacity {
+    /// The machine; `u32::MAX` stands for one that has not booted yet (`fleet::demand`).
     pub machine_id: MachineId,
+    /// The machine type.
     pub kind: TypeId,
+    /// The zone that the machine is in.
     pub zone: ZoneId,
+    /// Whether the cloud may reclaim the machine.
     pub spot: bool,
+    /// Free CPUs.
     pub cpus: f64,
+    /// Free GPUs.
     pub gpus: f64,
+    /// Free memory in GB.
     pub mem_gb: f64,
+    /// Images that the machine should have.
     pub images: Images,
-    /// Bytes that the machine's record still has for groups of tasks, each placed at once.
+    /// Bytes left in the machine's record for groups of tasks, each placed at once.
     pub record_free_bytes: usize,
+    /// The job that the machine is reserved for.
     pub reserved: Option<JobId>,
 }
 
 impl FreeCapacity {
-    /// A machine with what is free on it now, no image and room in its record.
-    pub fn from_machine(mid: MachineId, m: &machine::Machine) -> FreeCapacity {
+    /// Returns the machine's current free capacity, without images or reservation and with unlimited space in its record.
+    pub fn from_machine(machine_id: MachineId, m: &machine::Machine) -> FreeCapacity {
         FreeCapacity {
-            machine_id: mid,
+            machine_id,
             kind: m.machine_type,
             zone: m.zone,
             spot: m.spot,
@@ -44,30 +53,30 @@
         }
     }
 
-    /// The same machine, to work out what could be free on it: without its images.
+    /// Returns a copy without images, to compute what could become free on the machine.
     pub(super) fn without_images(&self) -> FreeCapacity {
         FreeCapacity { images: Images::new(), ..*self }
     }
 
-    /// How many tasks of this shape fit.
+    /// Returns how many tasks of `spec` fit: at most 256, and no more than the machine's record can list.
     pub fn fitting_tasks(&self, spec: &JobSpec) -> u32 {
-        let listed = (self.record_free_bytes.saturating_sub(MAX_TASK_GROUP_BYTES)
+        let fits_record = (self.record_free_bytes.saturating_sub(MAX_TASK_GROUP_BYTES)
             / MAX_TASK_RANGE_BYTES)
             .min(256) as u32;
-        if listed == 0 {
+        if fits_record == 0 {
             return 0;
         }
-        let part = |free: f64, need: f64| {
-            if need <= 0.0 { 256.0 } else { ((free + EPS) / need).clamp(0.0, 256.0) }
+        let fitting = |free: f64, per_task: f64| {
+            if per_task <= 0.0 { 256.0 } else { ((free + EPS) / per_task).clamp(0.0, 256.0) }
         };
-        // Whole tasks: what is cast is not negative.
-        let fit = part(self.cpus, spec.cpus)
-            .min(part(self.mem_gb, spec.mem_gb))
-            .min(part(self.gpus, spec.gpus)) as u32;
-        fit.min(listed)
+        // The cast rounds down to whole tasks; the values are not negative.
+        let fits_machine = fitting(self.cpus, spec.cpus)
+            .min(fitting(self.mem_gb, spec.mem_gb))
+            .min(fitting(self.gpus, spec.gpus)) as u32;
+        fits_machine.min(fits_record)
     }
 
-    /// How many tasks of this shape fit, with nobody else's reservation in the way.
+    /// Returns how many tasks of `spec` fit if the machine is eligible and not reserved, else 0.
     pub(super) fn unreserved_fitting_tasks(&self, spec: &JobSpec) -> u32 {
         if self.reserved.is_none() && self.is_eligible_for(spec) {
             self.fitting_tasks(spec)
@@ -76,6 +85,7 @@
         }
     }
 
+    /// Subtracts what `n` tasks of `spec` use, and their space in the machine's record.
     pub fn allocate(&mut self, spec: &JobSpec, n: u32) {
         if n > 0 {
             self.record_free_bytes = self
@@ -88,11 +98,12 @@
         self.mem_gb -= spec.mem_gb * n;
     }
 
-    /// Does at least one task fit here, with nobody else's reservation in the way?
-    pub(crate) fn has_unreserved_room(&self, spec: &JobSpec) -> bool {
+    /// Returns whether the machine is eligible, not reserved, and fits at least one task.
+    pub(crate) fn has_unreserved_capacity(&self, spec: &JobSpec) -> bool {
         self.unreserved_fitting_tasks(spec) > 0
     }
 
+    /// Returns whether the job may use this machine, by its type, zone and spot status.
     pub fn is_eligible_for(&self, spec: &JobSpec) -> bool {
         (spec.spot || !self.spot)
             && spec.machine_types.contains(&self.kind)
@@ -101,11 +112,13 @@
 }
 
 impl FreeCapacity {
+    /// Adds what one task of `spec` uses back to the free capacity.
     pub fn release(&mut self, spec: &JobSpec) {
-        self.take_back_n(spec, 1);
+        self.release_n(spec, 1);
     }
 
-    pub(super) fn take_back_n(&mut self, spec: &JobSpec, n: u32) {
+    /// Adds what `n` tasks of `spec` use back to the free capacity.
+    pub(super) fn release_n(&mut self, spec: &JobSpec, n: u32) {
         let n = f64::from(n);
         self.cpus += spec.cpus * n;
         self.gpus += spec.gpus * n;
@@ -114,49 +127,56 @@
 }
 
 impl LeaderState {
+    /// Returns the free capacity of all usable machines. Left out are machines that may run tasks of
+    /// unreadable jobs, and machines whose record has no space for another group of tasks.
     pub fn free_capacity(&self, now: u64) -> Vec<FreeCapacity> {
-        let silence = self.report_timeout_ms();
+        let report_timeout_ms = self.report_timeout_ms();
         self.machines
             .iter()
-            .filter(|(_, m)| m.is_usable(now, silence) && m.unreadable_job_tasks.is_empty())
-            .map(|(mid, m)| (mid, m, self.record_bytes_left(m)))
-            .filter(|(.., record)| *record >= MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES)
-            .map(|(mid, m, record)| FreeCapacity {
+            .filter(|(_, m)| {
+                m.is_usable(now, report_timeout_ms) && m.unreadable_job_tasks.is_empty()
+            })
+            .map(|(machine_id, m)| (machine_id, m, self.record_bytes_left(m)))
+            .filter(|(.., record_free_bytes)| {
+                *record_free_bytes >= MAX_TASK_GROUP_BYTES + MAX_TASK_RANGE_BYTES
+            })
+            .map(|(machine_id, m, record_free_bytes)| FreeCapacity {
                 images: m.images.iter().map(|(i, _)| *i).collect(),
-                record_free_bytes: record,
+                record_free_bytes,
                 reserved: m.reserved.filter(|(_, until)| now < *until).map(|(id, _)| id),
-                ..FreeCapacity::from_machine(*mid, m)
+                ..FreeCapacity::from_machine(*machine_id, m)
             })
             .collect()
     }
 
-    /// Machines on record that have not shown this term yet, with what is free on them by their records: after a
-    /// takeover, until they were heard or the bound for that has run out. Nothing is placed there; nothing is
-    /// rented or stopped for what may find its place there either.
+    /// Returns the free capacity, by their records, of machines that have not reported in this term: after a
+    /// takeover, until they report or the time allowed for that has run out. No task is placed there, but no machine is
+    /// rented and no task stopped for what may fit there either.
     pub(crate) fn unconfirmed_capacity(&self, now: u64) -> impl Iterator<Item = FreeCapacity> {
-        let waited = self.recovery.unreported_count() > 0;
-        let silence = self.report_timeout_ms();
+        let reports_expected = self.recovery.unreported_count() > 0;
+        let report_timeout_ms = self.report_timeout_ms();
         self.machines
             .iter()
-            .filter(move |(mid, m)| {
-                waited
-                    && self.recovery.is_report_expected(Machine(mid.0), now)
-                    && !m.is_usable(now, silence)
+            .filter(move |(machine_id, m)| {
+                reports_expected
+                    && self.recovery.is_report_expected(Machine(machine_id.0), now)
+                    && !m.is_usable(now, report_timeout_ms)
                     && !(m.faulty || m.leaving || m.reclaim_at.is_some())
                     && m.unreadable_job_tasks.is_empty()
             })
-            .map(|(mid, m)| FreeCapacity::from_machine(*mid, m))
+            .map(|(machine_id, m)| FreeCapacity::from_machine(*machine_id, m))
     }
 
-    /// For how many tasks of this shape there is room on such machines.
+    /// Returns how many tasks of `spec` fit on machines whose first report of this term is still expected.
     pub(crate) fn unconfirmed_fitting_tasks(&self, spec: &JobSpec, now: u64) -> u32 {
         self.unconfirmed_capacity(now).map(|s| s.unreserved_fitting_tasks(spec)).sum()
     }
 
-    /// How many more tasks of the job a zone may hold.
+    /// Returns how many more tasks of the job a zone may run: unlimited, unless the job wants one zone or to be spread
+    /// over zones, with at most half of its tasks in each.
     pub(crate) fn zone_headroom(&self, id: JobId, zone: ZoneId) -> u32 {
         let Some(job) = self.jobs.get(&id) else { return 0 };
-        let mut room = u32::MAX;
+        let mut headroom = u32::MAX;
         if job.spec.one_zone {
             let elsewhere =
                 job.placements_by_zone.iter().enumerate().any(|(z, n)| z != zone.index() && *n > 0);
@@ -166,45 +186,47 @@
         }
         if job.spec.spread {
             let half = job.spec.tasks.div_ceil(2);
-            room = room.min(half.saturating_sub(job.placements_by_zone[zone.index()]));
+            headroom = headroom.min(half.saturating_sub(job.placements_by_zone[zone.index()]));
         }
-        room
+        headroom
     }
 
-    /// The machines a job may use now, the best first: where the index routed its tasks, with its
-    /// image, spot if it may (that leaves ordinary machines to those who must have them), and
+    /// Returns the indices of the machines that a job may use now, the best first: without recent task
+    /// failures, with its image, reserved for it, in the pools that the index routed its tasks to, the
+    /// cheapest (spot machines, if it may use them, leave ordinary ones to jobs that need these), and
     /// the fullest, so that whole machines stay free for gangs.
     pub(crate) fn candidate_indices(
         &self,
         id: JobId,
         spec: &JobSpec,
-        slots: &[FreeCapacity],
+        capacities: &[FreeCapacity],
     ) -> Vec<usize> {
         let Some(job) = self.jobs.get(&id) else { return vec![] };
-        let sound = self.machines.len() > job.failed_on.len();
-        let doubted = |s: &FreeCapacity| {
+        let has_other_machines = self.machines.len() > job.failed_on.len();
+        let is_suspect = |s: &FreeCapacity| {
             self.machines
                 .get(&s.machine_id)
                 .is_some_and(|m| m.machine_failures > 0 || !m.suspect_failures.is_empty())
         };
-        let mut out: Vec<(bool, bool, bool, bool, i64, i64, usize)> = slots
+        let mut candidates: Vec<(bool, bool, bool, bool, i64, i64, usize)> = capacities
             .iter()
             .enumerate()
             .filter(|(_, s)| s.is_eligible_for(spec) && s.reserved.is_none_or(|r| r == id))
-            .filter(|(_, s)| !(sound && job.failed_on.contains_key(&s.machine_id)))
+            .filter(|(_, s)| !(has_other_machines && job.failed_on.contains_key(&s.machine_id)))
             .filter(|(_, s)| s.fitting_tasks(spec) > 0)
             .map(|(i, s)| {
                 let pool = self.pool_index(s.zone, s.kind);
                 let routed = job.routed_by_pool.get(pool).is_some_and(|r| *r > 0);
-                let image = s.images.contains(&spec.image);
-                // The cheapest first, so that dear machines get free and can be given back.
-                let f = &self.machine_types[s.kind.index()];
-                let price = (f.price(s.spot) * self.machine_share(spec, s.kind) * 1e6) as i64;
-                let free = (s.cpus * 1000.0) as i64;
-                (doubted(s), !image, s.reserved.is_none(), !routed, price, free, i)
+                let has_image = s.images.contains(&spec.image);
+                // The cheapest first, so that expensive machines become free and can be returned.
+                let machine_type = &self.machine_types[s.kind.index()];
+                let price =
+                    (machine_type.price(s.spot) * self.machine_share(spec, s.kind) * 1e6) as i64;
+                let free_cpus = (s.cpus * 1000.0) as i64;
+                (is_suspect(s), !has_image, s.reserved.is_none(), !routed, price, free_cpus, i)
             })
             .collect();
-        out.sort_unstable();
-        out.into_iter().map(|(.., i)| i).collect()
+        candidates.sort_unstable();
+        candidates.into_iter().map(|(.., i)| i).collect()
     }
 }
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: all their places at once, or none.
+//! Gang placement: all waiting tasks of a gang at once, or none.
 
 use crate::placement::capacity::FreeCapacity;
 use crate::state::job::{JobSpec, WaitReason};
@@ -8,26 +8,29 @@
 use std::collections::{BTreeMap, HashMap};
 
 impl LeaderState {
+    /// Places all waiting tasks of a gang at once if they fit, and returns why the gang waits. Its limit is
+    /// still checked if an earlier search of this pass has shown that the tasks don't fit
+    /// (`known_unplaceable`).
     pub(crate) fn place_gang(
         &mut self,
         id: JobId,
         spec: &JobSpec,
-        slots: &mut [FreeCapacity],
+        capacities: &mut [FreeCapacity],
         now: u64,
-        no_place: bool,
+        known_unplaceable: bool,
     ) -> WaitReason {
         let job = &self.jobs[&id];
         if !job.placement_counts.is_empty() {
-            // A replacement joins the attempt only while the others still wait for it.
-            let places: Vec<_> = self
+            // A replacement joins the attempt only while the other members still wait for it.
+            let assignments: Vec<_> = self
                 .machines
                 .values()
                 .flat_map(|m| m.assignments.range((id, 0)..=(id, u32::MAX)).map(|(_, e)| e))
                 .collect();
-            if job.gang_started || places.iter().any(|e| e.stop_requested.is_some()) {
+            if job.gang_started || assignments.iter().any(|e| e.stop_requested.is_some()) {
                 return WaitReason::Stopping;
             }
-            if places.iter().any(|e| e.unconfirmed) {
+            if assignments.iter().any(|e| e.unconfirmed) {
                 return WaitReason::UnheardMachine;
             }
         }
@@ -35,22 +38,22 @@
         if !self.can_fit_limit_by_preemption(spec, need) {
             return WaitReason::TeamLimit;
         }
-        if no_place {
+        if known_unplaceable {
             return WaitReason::NoRoom;
         }
-        let order = self.candidate_indices(id, spec, slots);
-        let Some(plan) = self.gang_plan(id, spec, slots, &order, need) else {
+        let candidates = self.candidate_indices(id, spec, capacities);
+        let Some(plan) = self.plan_gang(id, spec, capacities, &candidates, need) else {
             return WaitReason::NoRoom;
         };
         if self.team_headroom(spec) < need {
-            // The team's lower work is stopped only when there is room to gain by it, and that room
-            // is kept meanwhile; else both would be taken again at once, over and over.
+            // The team's work of lower priority is stopped only if the gang fits on machines, and these
+            // are reserved meanwhile; else limit and machines would be taken again at once, in each pass.
             if !self.preempt_for_team_limit(id, spec, now) {
                 return WaitReason::TeamLimit;
             }
             for (i, _) in plan {
-                slots[i].reserved = Some(id);
-                if let Some(m) = self.machines.get_mut(&slots[i].machine_id) {
+                capacities[i].reserved = Some(id);
+                if let Some(m) = self.machines.get_mut(&capacities[i].machine_id) {
                     m.reserved = Some((id, now + RESERVATION_MS));
                 }
             }
@@ -65,16 +68,16 @@
         }
         for (i, n) in plan {
             let tasks: Vec<u32> = self.jobs[&id].waiting.first(n);
-            let mid = slots[i].machine_id;
+            let machine_id = capacities[i].machine_id;
             for task in tasks {
-                self.assign(mid, id, task, attempt, now);
+                self.assign(machine_id, id, task, attempt, now);
             }
-            slots[i].allocate(spec, n);
-            if let Some(m) = self.machines.get_mut(&mid)
+            capacities[i].allocate(spec, n);
+            if let Some(m) = self.machines.get_mut(&machine_id)
                 && m.reserved.is_some_and(|(r, _)| r == id)
             {
                 m.reserved = None;
-                slots[i].reserved = None;
+                capacities[i].reserved = None;
             }
         }
         for m in self.machines.values_mut() {
@@ -85,49 +88,49 @@
         WaitReason::Image
     }
 
-    /// Where all `need` tasks fit at once: one pool if any has the room, else (unless the job
-    /// wants one zone) wherever there is room.
-    fn gang_plan(
+    /// Returns machines and numbers of tasks so that all `need` tasks fit at once: in one pool if any has
+    /// the capacity, else in one zone, else (unless the job wants one zone) on any machines.
+    fn plan_gang(
         &self,
         id: JobId,
         spec: &JobSpec,
-        slots: &[FreeCapacity],
-        order: &[usize],
+        capacities: &[FreeCapacity],
+        candidates: &[usize],
         need: u32,
     ) -> Option<Vec<(usize, u32)>> {
-        let mut groups: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        let mut zones: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        let mut first: Vec<usize> = vec![];
-        for i in order {
-            let pool = self.pool_index(slots[*i].zone, slots[*i].kind);
-            if !groups.contains_key(&pool) {
-                first.push(pool);
+        let mut by_pool: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+        let mut candidates_by_zone: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+        let mut pools: Vec<usize> = vec![];
+        for i in candidates {
+            let pool = self.pool_index(capacities[*i].zone, capacities[*i].kind);
+            if !by_pool.contains_key(&pool) {
+                pools.push(pool);
             }
-            groups.entry(pool).or_default().push(*i);
-            zones.entry(slots[*i].zone.index()).or_default().push(*i);
+            by_pool.entry(pool).or_default().push(*i);
+            candidates_by_zone.entry(capacities[*i].zone.index()).or_default().push(*i);
         }
-        let mut tries: Vec<&[usize]> = first.iter().map(|p| groups[p].as_slice()).collect();
-        tries.extend(zones.values().map(|v| v.as_slice()));
+        let mut groups: Vec<&[usize]> = pools.iter().map(|p| by_pool[p].as_slice()).collect();
+        groups.extend(candidates_by_zone.values().map(|v| v.as_slice()));
         if !spec.one_zone {
-            tries.push(order);
+            groups.push(candidates);
         }
-        for try_order in tries {
-            let mut left = need;
+        for group in groups {
+            let mut remaining = need;
             let mut plan = vec![];
-            let mut by_zone: HashMap<ZoneId, u32> = HashMap::new();
-            for i in try_order {
-                let zone = slots[*i].zone;
-                let used = by_zone.entry(zone).or_insert(0);
-                let n = slots[*i]
+            let mut planned_by_zone: HashMap<ZoneId, u32> = HashMap::new();
+            for i in group {
+                let zone = capacities[*i].zone;
+                let planned = planned_by_zone.entry(zone).or_insert(0);
+                let n = capacities[*i]
                     .fitting_tasks(spec)
-                    .min(left)
-                    .min(self.zone_headroom(id, zone).saturating_sub(*used));
+                    .min(remaining)
+                    .min(self.zone_headroom(id, zone).saturating_sub(*planned));
                 if n > 0 {
                     plan.push((*i, n));
-                    *used += n;
-                    left -= n;
+                    *planned += n;
+                    remaining -= n;
                 }
-                if left == 0 {
+                if remaining == 0 {
                     return Some(plan);
                 }
             }
--- a/crates/core/src/placement/independent_tasks.rs
+++ b/crates/core/src/placement/independent_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks of arrays and replicas of services, each placed by itself.
+//! Placement of array tasks and service replicas, each independently of the others.
 
 use crate::placement::capacity::FreeCapacity;
 use crate::state::job::{JobSpec, WaitReason};
@@ -7,9 +7,9 @@
 use copperhaven_wire::jobs::JobKind;
 
 impl LeaderState {
-    /// All its tasks have their places: what was kept for it is free for others.
-    fn release_kept(&mut self, id: JobId, slots: &mut [FreeCapacity]) {
-        for s in slots.iter_mut().filter(|s| s.reserved == Some(id)) {
+    /// Releases the machines reserved for a job whose tasks are all placed.
+    fn release_reservations(&mut self, id: JobId, capacities: &mut [FreeCapacity]) {
+        for s in capacities.iter_mut().filter(|s| s.reserved == Some(id)) {
             s.reserved = None;
             if let Some(m) = self.machines.get_mut(&s.machine_id) {
                 m.reserved = None;
@@ -17,55 +17,56 @@
         }
     }
 
+    /// Places as many waiting tasks of an array or service as fit, and returns why the rest waits.
     pub(crate) fn place_independent_tasks(
         &mut self,
         id: JobId,
         spec: &JobSpec,
-        slots: &mut [FreeCapacity],
+        capacities: &mut [FreeCapacity],
         now: u64,
     ) -> WaitReason {
-        // Without room in the team's limit no machine need be looked at.
+        // Without headroom in the team's limit there is no need to search the machines.
         if self.team_headroom(spec) == 0
             && self.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty())
         {
             return WaitReason::TeamLimit;
         }
-        let mut order = self.candidate_indices(id, spec, slots);
+        let mut candidates = self.candidate_indices(id, spec, capacities);
         if spec.kind == JobKind::Service {
-            // Replicas go where the job has fewest.
+            // Replicas go to the zone in which the job has the fewest.
             let job = &self.jobs[&id];
-            order.sort_by_key(|i| job.placements_by_zone[slots[*i].zone.index()]);
+            candidates.sort_by_key(|i| job.placements_by_zone[capacities[*i].zone.index()]);
         }
         let mut placed = false;
-        for i in order {
+        for i in candidates {
             loop {
-                let left = self.jobs.get(&id).map_or(0, |j| j.waiting.len());
-                if left == 0 {
-                    self.release_kept(id, slots);
+                let waiting = self.jobs.get(&id).map_or(0, |j| j.waiting.len());
+                if waiting == 0 {
+                    self.release_reservations(id, capacities);
                     return WaitReason::Image;
                 }
-                let quota = self.team_headroom(spec);
-                if quota == 0 {
+                let team_headroom = self.team_headroom(spec);
+                if team_headroom == 0 {
                     return WaitReason::TeamLimit;
                 }
                 let failing = self.jobs.get(&id).is_some_and(|j| j.is_failing());
-                let most = if failing || spec.kind == JobKind::Service { 1 } else { u32::MAX };
-                let n = slots[i]
+                let max_tasks = if failing || spec.kind == JobKind::Service { 1 } else { u32::MAX };
+                let n = capacities[i]
                     .fitting_tasks(spec)
-                    .min(left)
-                    .min(quota)
-                    .min(self.zone_headroom(id, slots[i].zone))
-                    .min(most);
+                    .min(waiting)
+                    .min(team_headroom)
+                    .min(self.zone_headroom(id, capacities[i].zone))
+                    .min(max_tasks);
                 if n == 0 {
                     break;
                 }
                 let tasks: Vec<u32> = self.jobs[&id].waiting.first(n);
-                // One attempt for all that start together keeps the machine's record short.
+                // One attempt for all tasks that start together keeps the machine's record short.
                 let attempt = self.new_attempt();
                 for task in tasks {
-                    self.assign(slots[i].machine_id, id, task, attempt, now);
+                    self.assign(capacities[i].machine_id, id, task, attempt, now);
                 }
-                slots[i].allocate(spec, n);
+                capacities[i].allocate(spec, n);
                 placed = true;
                 if failing {
                     return WaitReason::Backoff;
@@ -76,7 +77,7 @@
             }
         }
         if self.jobs.get(&id).is_none_or(|j| j.waiting.is_empty()) {
-            self.release_kept(id, slots);
+            self.release_reservations(id, capacities);
             return WaitReason::Image;
         }
         if self.team_headroom(spec) == 0 {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! Placement: in which order jobs are served, which machine a task gets, room kept for gangs,
-//! and who has to make room for whom.
+//! Placement: ranks the open jobs, assigns their waiting tasks to machines, reserves machines for
+//! gangs and other jobs that need them, and preempts tasks for jobs that go before them.
 
 pub mod capacity;
 pub mod gangs;
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -1,4 +1,4 @@
-//! Who has to make room for whom.
+//! Preemption: which tasks are stopped so that a job that goes before them gets their capacity.
 
 use crate::placement::capacity::FreeCapacity;
 use crate::placement::ranking::RankedJob;
@@ -13,93 +13,106 @@
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 
-/// Arrays in need have at most one of so many machines kept for them.
-const KEPT: usize = 4;
+/// At most one in this many machines is reserved for underserved arrays.
+const MACHINES_PER_ARRAY_RESERVATION: usize = 4;
 
-/// What is lost, how many tasks then fit, and who has to go.
-type Victims = (f64, u32, Vec<Victim>);
+/// Cost in CPU seconds, how many tasks fit once the victims have left, and the victims.
+type VictimPlan = (f64, u32, Vec<Victim>);
 
-/// A task that leaves its machine for another's: stopped, or left to run out there.
+/// A task that leaves its machine for another's, and whether it is left to finish instead of being stopped.
 type Victim = (JobId, u32, bool);
 
-/// The order of service of a pass, by job.
+/// The ranked jobs of a pass, by id.
 pub(crate) type RankByJob = FxHashMap<JobId, RankedJob>;
 
-/// The machines that were kept for jobs when the pass began, usable or not.
-pub(crate) type Held = FxHashMap<JobId, Vec<MachineId>>;
+/// The machines that were reserved for jobs when the pass began, usable or not, by job.
+pub(crate) type ReservedMachines = FxHashMap<JobId, Vec<MachineId>>;
 
-/// What a job that looks for room may have of another's, the same on all machines.
+/// Whether the requesting job may preempt another job's tasks; the same on all machines.
 #[derive(Clone, Copy)]
-struct Stance<'a> {
+struct PreemptionEligibility<'a> {
     spec: &'a JobSpec,
-    /// Its tasks may be stopped.
-    may: bool,
+    /// The job's tasks may be stopped.
+    preemptible: bool,
 }
 
-/// A job that looks for room, and what it has found out of others.
-struct Asker<'a> {
-    cell: &'a LeaderState,
-    r: RankedJob,
-    patient: bool,
+/// A job that searches for victims, and the eligibility of other jobs found so far.
+struct RequestingJob<'a> {
+    leader: &'a LeaderState,
+    ranked: RankedJob,
+    /// It may only preempt teams without a guarantee.
+    unguaranteed_only: bool,
     spec: &'a JobSpec,
-    order: &'a RankByJob,
-    short: bool,
-    /// Are machines left on which nothing could fit, before their tasks are weighed?
-    bounds: bool,
-    known: RefCell<FxHashMap<JobId, Option<Stance<'a>>>>,
+    ranks: &'a RankByJob,
+    /// Some team or class is underserved.
+    any_underserved: bool,
+    /// Machines on which no task could fit are skipped before the cost of their tasks is computed.
+    pruning: bool,
+    eligibility_cache: RefCell<FxHashMap<JobId, Option<PreemptionEligibility<'a>>>>,
 }
 
-impl<'a> Asker<'a> {
-    /// None: the job is not there any more.
-    fn stance(&self, id: JobId) -> Option<Stance<'a>> {
-        *self.known.borrow_mut().entry(id).or_insert_with(|| {
-            let v = &*self.cell.jobs.get(&id)?.spec;
-            Some(Stance { spec: v, may: self.may_stop(id, v) })
+impl<'a> RequestingJob<'a> {
+    /// Returns whether the job's tasks may be preempted, or `None` if the job is no longer in memory.
+    fn eligibility(&self, id: JobId) -> Option<PreemptionEligibility<'a>> {
+        *self.eligibility_cache.borrow_mut().entry(id).or_insert_with(|| {
+            let victim = &*self.leader.jobs.get(&id)?.spec;
+            Some(PreemptionEligibility { spec: victim, preemptible: self.can_preempt(id, victim) })
         })
     }
 
-    fn may_stop(&self, id: JobId, v: &JobSpec) -> bool {
-        let (spec, r) = (self.spec, &self.r);
-        let guest = |s: &JobSpec| self.cell.settings.deployment.teams[s.team.index()].is_guest();
-        // Guests take what is left, and stop each other's work only.
-        let lower = v.priority > spec.priority && (!guest(spec) || guest(v));
-        let other = self.order.get(&id);
-        let beyond = r.guaranteed
-            && v.team != spec.team
-            && !other.is_none_or(|v| v.guaranteed)
-            && v.priority >= spec.priority;
-        let part =
-            if lower { MAX_LOST_SHARE_HIGHER_PRIORITY } else { MAX_LOST_SHARE_EQUAL_PRIORITY };
-        (lower || beyond)
-            && (!self.patient || guest(v))
-            && !other.is_some_and(|v| r.is_barred_from_preempting(v))
-            // Found on paired seeds of a small site: bounded at all times, losses kept gangs waiting on
-            // days without overload.
-            && (!self.short
-                || guest(v)
-                || self.cell.fairness_ledger.can_lose_work(Class(v.class.0), part))
+    /// Returns whether tasks of job `id` with the spec `victim` may be stopped for the requesting job.
+    fn can_preempt(&self, id: JobId, victim: &JobSpec) -> bool {
+        let (spec, ranked) = (self.spec, &self.ranked);
+        let unguaranteed =
+            |s: &JobSpec| self.leader.settings.deployment.teams[s.team.index()].is_guest();
+        // Teams without a guarantee take what is left, and preempt each other's work only.
+        let lower_priority =
+            victim.priority > spec.priority && (!unguaranteed(spec) || unguaranteed(victim));
+        let victim_rank = self.ranks.get(&id);
+        let beyond_guarantee = ranked.guaranteed
+            && victim.team != spec.team
+            && !victim_rank.is_none_or(|v| v.guaranteed)
+            && victim.priority >= spec.priority;
+        let max_lost_share = if lower_priority {
+            MAX_LOST_SHARE_HIGHER_PRIORITY
+        } else {
+            MAX_LOST_SHARE_EQUAL_PRIORITY
+        };
+        (lower_priority || beyond_guarantee)
+            && (!self.unguaranteed_only || unguaranteed(victim))
+            && !victim_rank.is_some_and(|v| ranked.is_barred_from_preempting(v))
+            // Losses are only bounded while a team or class is underserved: in runs of a small site with
+            // paired seeds, a bound at all times kept gangs waiting on days without overload.
+            && (!self.any_underserved
+                || unguaranteed(victim)
+                || self.leader.fairness_ledger.can_lose_work(Class(victim.class.0), max_lost_share))
     }
 
-    /// While somebody is served too little, whoever's turn it is waits for what runs out soon: small
-    /// tasks would take every place that gets free, and it none.
-    fn waits(&self) -> bool {
-        self.short && (self.spec.kind == JobKind::Gang || self.r.class_deficit.is_underserved())
+    /// Returns whether the job also waits for tasks that will finish soon. While a team or class is
+    /// underserved, small tasks would otherwise take all capacity as it becomes free.
+    fn waits_for_finishing_tasks(&self) -> bool {
+        self.any_underserved
+            && (self.spec.kind == JobKind::Gang || self.ranked.class_deficit.is_underserved())
     }
 
-    /// Could a task of it fit on this machine if all went that it could ask for at most?
-    fn could_fit(&self, m: &Machine, slot: &FreeCapacity) -> bool {
-        let mut free = slot.without_images();
-        let waits = self.waits();
-        let mut last: Option<(JobId, Option<Stance>)> = None;
+    /// Returns whether a task of the job could fit on this machine if every task left that may be
+    /// preempted or waited for: a cheap upper bound.
+    fn could_fit(&self, m: &Machine, capacity: &FreeCapacity) -> bool {
+        let mut free = capacity.without_images();
+        let waits_for_finishing = self.waits_for_finishing_tasks();
+        let mut previous: Option<(JobId, Option<PreemptionEligibility>)> = None;
         for ((id, _), e) in &m.assignments {
-            let stance = match last {
-                Some((of, stance)) if of == *id => stance,
-                _ => self.stance(*id),
+            let eligibility = match previous {
+                Some((previous_id, eligibility)) if previous_id == *id => eligibility,
+                _ => self.eligibility(*id),
             };
-            last = Some((*id, stance));
-            let Some(s) = stance else { return false };
-            if e.stop_requested.is_some() || s.may || (waits && s.spec.kind == JobKind::Array) {
-                free.release(s.spec);
+            previous = Some((*id, eligibility));
+            let Some(victim) = eligibility else { return false };
+            if e.stop_requested.is_some()
+                || victim.preemptible
+                || (waits_for_finishing && victim.spec.kind == JobKind::Array)
+            {
+                free.release(victim.spec);
             }
         }
         free.fitting_tasks(self.spec) > 0
@@ -107,136 +120,159 @@
 }
 
 impl LeaderState {
-    /// Stops tasks to make room: those of lower priority; and, for a job within its team's
-    /// guarantee, what another team runs beyond its own. The machine is kept for the job until
-    /// they have left. Returns whether the job now waits for tasks that are being stopped.
+    /// Preempts tasks of lower priority and, for a job within its team's guarantee, tasks that
+    /// another team runs beyond its own guarantee. The machine is reserved until they have left,
+    /// except for most arrays. Returns whether the job now waits for tasks that are being stopped.
     pub(crate) fn preempt_for_capacity(
         &mut self,
-        r: RankedJob,
+        ranked: RankedJob,
         spec: &JobSpec,
-        slots: &mut [FreeCapacity],
-        (order, held, bounds): (&RankByJob, &Held, bool),
+        capacities: &mut [FreeCapacity],
+        (ranks, reserved_machines, pruning): (&RankByJob, &ReservedMachines, bool),
         now: u64,
     ) -> bool {
-        // Until then an array within its guarantee stops guests only.
-        let patient = spec.kind == JobKind::Array && !self.can_array_preempt(r, now);
-        // One in need has machines kept for it until smaller tasks there have run out: they would
-        // take each place that gets free before it is large enough. Not all machines at once.
-        let needy = spec.kind == JobKind::Array && r.class_deficit.is_underserved();
-        let kept = || slots.iter().filter(|s| s.reserved.is_some()).count();
-        let most = if needy { slots.len().div_ceil(KEPT).saturating_sub(kept()) } else { 0 };
-        let collects = needy && most > 0;
-        if patient && !collects && !(r.guaranteed && self.guests_run()) {
+        // Until it may preempt, an array within its guarantee only stops tasks of teams without one.
+        let unguaranteed_only = spec.kind == JobKind::Array && !self.can_array_preempt(ranked, now);
+        // An underserved array has machines reserved until the smaller tasks there have finished: they
+        // would take freed capacity before there is enough for one of its tasks. Not all machines at once.
+        let underserved = spec.kind == JobKind::Array && ranked.class_deficit.is_underserved();
+        let reserved_count = || capacities.iter().filter(|s| s.reserved.is_some()).count();
+        let max_reservations = if underserved {
+            capacities
+                .len()
+                .div_ceil(MACHINES_PER_ARRAY_RESERVATION)
+                .saturating_sub(reserved_count())
+        } else {
+            0
+        };
+        let reserves_for_array = underserved && max_reservations > 0;
+        if unguaranteed_only
+            && !reserves_for_array
+            && !(ranked.guaranteed && self.has_unguaranteed_work())
+        {
             return false;
         }
-        let Some(job) = self.jobs.get(&r.id) else { return false };
+        let Some(job) = self.jobs.get(&ranked.id) else { return false };
         let mut need = job.waiting.len();
         if spec.kind != JobKind::Gang {
             need = need.min(self.team_headroom(spec)).min(32);
         }
-        let held: &[MachineId] = held.get(&r.id).map_or(&[], Vec::as_slice);
-        // What the machines already held for it will give once they are free.
-        let short = self.deficits.has_any();
-        for mid in held {
-            let m = &self.machines[mid];
-            let mut free = FreeCapacity::from_machine(*mid, m);
-            for ((v, _), e) in &m.assignments {
-                if let Some(v) = self.jobs.get(v)
-                    && (e.stop_requested.is_some() || (short && self.runs_out(&v.spec, e, now)))
+        let own_reserved: &[MachineId] =
+            reserved_machines.get(&ranked.id).map_or(&[], Vec::as_slice);
+        // What fits on the machines already reserved for it once their tasks have left.
+        let any_underserved = self.deficits.has_any();
+        for machine_id in own_reserved {
+            let m = &self.machines[machine_id];
+            let mut free = FreeCapacity::from_machine(*machine_id, m);
+            for ((victim_id, _), e) in &m.assignments {
+                if let Some(victim) = self.jobs.get(victim_id)
+                    && (e.stop_requested.is_some()
+                        || (any_underserved
+                            && self.finishes_within_reservation(&victim.spec, e, now)))
                 {
-                    free.release(&v.spec);
+                    free.release(&victim.spec);
                 }
             }
             need = need.saturating_sub(free.fitting_tasks(spec));
         }
-        // What has its place on machines that are about to be heard again needs nobody to stop.
+        // Tasks that fit on machines whose first report of this term is still expected need no victims.
         if need == 0 || self.unconfirmed_fitting_tasks(spec, now) >= need {
-            return !held.is_empty();
+            return !own_reserved.is_empty();
         }
-        let asker =
-            Asker { cell: self, r, patient, spec, order, short, bounds, known: RefCell::default() };
+        let requesting = RequestingJob {
+            leader: self,
+            ranked,
+            unguaranteed_only,
+            spec,
+            ranks,
+            any_underserved,
+            pruning,
+            eligibility_cache: RefCell::default(),
+        };
         let mut plans = Vec::new();
-        for (i, s) in slots.iter().enumerate() {
-            let taken = s.reserved.is_some() || held.contains(&s.machine_id);
-            let barred =
-                job.failed_on.contains_key(&s.machine_id) || self.zone_headroom(r.id, s.zone) == 0;
-            if taken || barred || !s.is_eligible_for(spec) {
+        for (i, s) in capacities.iter().enumerate() {
+            let reserved = s.reserved.is_some() || own_reserved.contains(&s.machine_id);
+            let excluded = job.failed_on.contains_key(&s.machine_id)
+                || self.zone_headroom(ranked.id, s.zone) == 0;
+            if reserved || excluded || !s.is_eligible_for(spec) {
                 continue;
             }
-            if let Some((cost, n, victims)) = self.victims(&asker, s, need, now) {
-                let image = if s.images.contains(&spec.image) { 0.0 } else { spec.image_gb * 50.0 };
-                plans.push(((cost + image) / f64::from(n), i, n, victims));
+            if let Some((cost, n, victims)) = self.select_victims(&requesting, s, need, now) {
+                let image_cost =
+                    if s.images.contains(&spec.image) { 0.0 } else { spec.image_gb * 50.0 };
+                plans.push(((cost + image_cost) / f64::from(n), i, n, victims));
             }
         }
         plans.sort_by(|a, b| a.0.total_cmp(&b.0));
         if spec.one_zone {
-            let zone = plans.first().map(|p| slots[p.1].zone);
-            plans.retain(|p| Some(slots[p.1].zone) == zone);
+            let zone = plans.first().map(|p| capacities[p.1].zone);
+            plans.retain(|p| Some(capacities[p.1].zone) == zone);
         }
-        if collects {
-            plans.truncate(most);
+        if reserves_for_array {
+            plans.truncate(max_reservations);
         }
         let total: u32 = plans.iter().map(|p| p.2).sum();
         if spec.kind == JobKind::Gang && total < need {
-            return !held.is_empty();
+            return !own_reserved.is_empty();
         }
-        let mut any = !held.is_empty();
+        let mut waits_for_stopping = !own_reserved.is_empty();
         for (_, i, n, victims) in plans {
             if need == 0 {
                 break;
             }
             need = need.saturating_sub(n);
-            any = true;
-            let mid = slots[i].machine_id;
-            // A gang needs all its places at once, so they are kept for it. An array's tasks come
-            // one by one: served first anyway, it needs no machine to itself.
-            let keep = spec.kind != JobKind::Array || collects;
-            if keep {
-                slots[i].reserved = Some(r.id);
+            waits_for_stopping = true;
+            let machine_id = capacities[i].machine_id;
+            // A gang needs all its machines at once, so they are reserved. An array's tasks are placed
+            // one by one; as it is served first anyway, it needs no reservation.
+            let reserve = spec.kind != JobKind::Array || reserves_for_array;
+            if reserve {
+                capacities[i].reserved = Some(ranked.id);
             }
-            if let Some(m) = self.machines.get_mut(&mid) {
-                if keep {
-                    m.reserved = Some((r.id, now + RESERVATION_MS));
+            if let Some(m) = self.machines.get_mut(&machine_id) {
+                if reserve {
+                    m.reserved = Some((ranked.id, now + RESERVATION_MS));
                 }
-                let stopped = victims.iter().filter(|(.., runs_out)| !runs_out).count();
+                let stopped = victims.iter().filter(|(.., will_finish)| !will_finish).count();
                 let (name, count) = (m.name.clone(), stopped);
                 if count > 0 {
-                    let why = if spec.kind == JobKind::Array { "guarantee" } else { "priority" };
-                    tracing::info!("preempt {count} tasks on {name} for {} ({why})", spec.uid);
+                    let reason = if spec.kind == JobKind::Array { "guarantee" } else { "priority" };
+                    tracing::info!("preempt {count} tasks on {name} for {} ({reason})", spec.uid);
                 }
             }
-            for (vid, task, _) in victims.into_iter().filter(|(.., runs_out)| !runs_out) {
-                self.record_preemption(mid, vid, task, now);
-                let Some(v) = self.jobs.get_mut(&vid) else { continue };
-                v.preempted += 1;
-                let grace = if v.spec.checkpoint_interval_s > 0.0 {
-                    v.spec.checkpoint_save_s + 1.0
+            for (victim_id, task, _) in victims.into_iter().filter(|(.., will_finish)| !will_finish)
+            {
+                self.record_preemption(machine_id, victim_id, task, now);
+                let Some(victim) = self.jobs.get_mut(&victim_id) else { continue };
+                victim.preempted += 1;
+                let grace_s = if victim.spec.checkpoint_interval_s > 0.0 {
+                    victim.spec.checkpoint_save_s + 1.0
                 } else {
                     0.0
                 };
-                if v.spec.kind == JobKind::Gang {
-                    self.stop_all_tasks(vid, now, grace);
+                if victim.spec.kind == JobKind::Gang {
+                    self.stop_all_tasks(victim_id, now, grace_s);
                 } else {
-                    self.stop_task(mid, vid, task, now, grace);
+                    self.stop_task(machine_id, victim_id, task, now, grace_s);
                 }
             }
         }
-        any
+        waits_for_stopping
     }
 
-    /// The machines that are kept for jobs, by job.
-    pub(super) fn reserved_machines(&self, now: u64) -> Held {
-        let mut held = Held::default();
-        for (mid, m) in &self.machines {
+    /// Returns the machines that are reserved for jobs, by job.
+    pub(super) fn reserved_machines(&self, now: u64) -> ReservedMachines {
+        let mut reserved = ReservedMachines::default();
+        for (machine_id, m) in &self.machines {
             if let Some((id, _)) = m.reserved.filter(|(_, until)| now < *until) {
-                held.entry(id).or_default().push(*mid);
+                reserved.entry(id).or_default().push(*machine_id);
             }
         }
-        held
+        reserved
     }
 
-    /// For how long a task has run, as far as this leader knows, in seconds.
-    fn ran_s(&self, e: &Assignment, now: u64) -> f64 {
+    /// Returns for how long a task has run as far as this leader knows, in seconds.
+    fn known_run_s(&self, e: &Assignment, now: u64) -> f64 {
         let since = e.running_since.max(self.took_over_at);
         if e.observed == ObservedState::Running {
             now.saturating_sub(since) as f64 / 1000.0
@@ -245,36 +281,43 @@
         }
     }
 
-    /// What is lost of a task's run if it is stopped now, in seconds.
+    /// Returns how much of a task's run is lost if it is stopped now, in seconds.
     pub(crate) fn lost_s(&self, spec: &JobSpec, e: &Assignment, now: u64) -> f64 {
-        let ran = self.ran_s(e, now);
-        if spec.checkpoint_interval_s > 0.0 { ran.min(spec.checkpoint_save_s) } else { ran }
+        let run_s = self.known_run_s(e, now);
+        if spec.checkpoint_interval_s > 0.0 { run_s.min(spec.checkpoint_save_s) } else { run_s }
     }
 
-    /// How much longer a task is expected to run, in seconds.
-    fn rest_s(&self, spec: &JobSpec, e: &Assignment, now: u64) -> f64 {
-        let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
-        (run - self.ran_s(e, now)).max(0.0)
+    /// Returns how much longer a task is expected to run, in seconds.
+    fn remaining_run_s(&self, spec: &JobSpec, e: &Assignment, now: u64) -> f64 {
+        let expected_s = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
+        (expected_s - self.known_run_s(e, now)).max(0.0)
     }
 
-    /// Will this task have left its machine by itself before a reservation ends?
-    fn runs_out(&self, spec: &JobSpec, e: &Assignment, now: u64) -> bool {
-        spec.kind == JobKind::Array && self.rest_s(spec, e, now) * 1000.0 < RESERVATION_MS as f64
+    /// Returns whether this task is expected to finish before a reservation made now ends.
+    fn finishes_within_reservation(&self, spec: &JobSpec, e: &Assignment, now: u64) -> bool {
+        spec.kind == JobKind::Array
+            && self.remaining_run_s(spec, e, now) * 1000.0 < RESERVATION_MS as f64
     }
 
-    /// Counts a task that is about to be stopped for others.
-    pub(crate) fn record_preemption(&mut self, mid: MachineId, id: JobId, task: u32, now: u64) {
+    /// Counts the lost work of a task, or of its whole gang, that is about to be preempted.
+    pub(crate) fn record_preemption(
+        &mut self,
+        machine_id: MachineId,
+        id: JobId,
+        task: u32,
+        now: u64,
+    ) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let Some(m) = self.machines.get(&mid) else { return };
+        let Some(m) = self.machines.get(&machine_id) else { return };
         let Some(e) = m.assignments.get(&(id, task)) else { return };
         let spec = &job.spec;
         let tasks = if spec.kind == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
-        let lost = self.lost_s(spec, e, now) * spec.cpus * tasks;
-        self.fairness_ledger.task_preempted(fairness_accounting::fairness_pair(spec), lost);
+        let lost_cpu_s = self.lost_s(spec, e, now) * spec.cpus * tasks;
+        self.fairness_ledger.task_preempted(fairness_accounting::fairness_pair(spec), lost_cpu_s);
     }
 
-    /// Does any team without a guarantee have work on machines?
-    fn guests_run(&self) -> bool {
+    /// Returns whether any team without a guarantee has work on machines.
+    fn has_unguaranteed_work(&self) -> bool {
         let teams = &self.settings.deployment.teams;
         teams
             .iter()
@@ -282,11 +325,11 @@
             .any(|(t, u)| t.is_guest() && (u.cpus > 0.0 || u.gpus > 0.0))
     }
 
-    /// An array within its guarantee may preempt once it has waited a third of what the
-    /// guarantee's objective allows.
-    pub(crate) fn can_array_preempt(&self, r: RankedJob, now: u64) -> bool {
-        let Some(job) = self.jobs.get(&r.id) else { return false };
-        let span = self
+    /// Returns whether an array may preempt: if it is within its team's guarantee and has waited for
+    /// capacity for a third of what the guarantee's objective allows (60 s if that is longer or not set).
+    pub(crate) fn can_array_preempt(&self, ranked: RankedJob, now: u64) -> bool {
+        let Some(job) = self.jobs.get(&ranked.id) else { return false };
+        let objective_s = self
             .settings
             .deployment
             .objectives
@@ -294,57 +337,68 @@
             .filter(|o| o.kind == "guarantee")
             .filter_map(|o| o.within_s)
             .fold(60.0, f64::min);
-        r.guaranteed
+        ranked.guaranteed
             && job.waiting_for_room_since > 0
-            && now > job.waiting_for_room_since + (span * 333.0) as u64
+            && now > job.waiting_for_room_since + (objective_s * 333.0) as u64
     }
 
-    /// The cheapest tasks to stop on one machine so that tasks of `spec` fit there; cost counts
-    /// the work lost, in CPU seconds.
-    fn victims(&self, asker: &Asker, slot: &FreeCapacity, need: u32, now: u64) -> Option<Victims> {
-        let m = self.machines.get(&slot.machine_id)?;
-        if asker.bounds && !asker.could_fit(m, slot) {
+    /// Returns the victims on one machine that cost the least per task that then fits there, up to
+    /// `need` tasks, or `None` if none can fit. The cost is the work lost, or the expected remaining work
+    /// of tasks left to finish, in CPU seconds.
+    fn select_victims(
+        &self,
+        requesting: &RequestingJob,
+        capacity: &FreeCapacity,
+        need: u32,
+        now: u64,
+    ) -> Option<VictimPlan> {
+        let m = self.machines.get(&capacity.machine_id)?;
+        if requesting.pruning && !requesting.could_fit(m, capacity) {
             return None;
         }
-        let spec = asker.spec;
-        let mut free = slot.without_images();
-        let mut list: Vec<(f64, Victim)> = Vec::new();
+        let spec = requesting.spec;
+        let mut free = capacity.without_images();
+        let mut candidates: Vec<(f64, Victim)> = Vec::new();
         for ((id, task), e) in &m.assignments {
-            let Stance { spec: v, may } = asker.stance(*id)?;
+            let PreemptionEligibility { spec: victim, preemptible } =
+                requesting.eligibility(*id)?;
             if e.stop_requested.is_some() {
-                free.release(v);
-            } else if may {
-                let gang = if v.kind == JobKind::Gang { f64::from(v.tasks) } else { 1.0 };
-                let lost = self.lost_s(v, e, now);
-                list.push(((lost + 1.0) * v.cpus * gang, (*id, *task, false)));
-            } else if asker.waits() && self.runs_out(v, e, now) {
-                let idle = self.rest_s(v, e, now) * v.cpus;
-                list.push((idle, (*id, *task, true)));
+                free.release(victim);
+            } else if preemptible {
+                let tasks =
+                    if victim.kind == JobKind::Gang { f64::from(victim.tasks) } else { 1.0 };
+                let lost_s = self.lost_s(victim, e, now);
+                candidates.push(((lost_s + 1.0) * victim.cpus * tasks, (*id, *task, false)));
+            } else if requesting.waits_for_finishing_tasks()
+                && self.finishes_within_reservation(victim, e, now)
+            {
+                let remaining_cpu_s = self.remaining_run_s(victim, e, now) * victim.cpus;
+                candidates.push((remaining_cpu_s, (*id, *task, true)));
             }
         }
-        let mut all = free.without_images();
-        for (_, (id, ..)) in &list {
-            all.release(asker.stance(*id)?.spec);
+        let mut all_released = free.without_images();
+        for (_, (id, ..)) in &candidates {
+            all_released.release(requesting.eligibility(*id)?.spec);
         }
-        if all.fitting_tasks(spec) == 0 {
+        if all_released.fitting_tasks(spec) == 0 {
             return None;
         }
-        list.sort_by(|a, b| a.0.total_cmp(&b.0));
+        candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut cost, mut victims) = (0.0, vec![]);
         let mut best: Option<(f64, u32, usize)> = None;
-        let mut step = |free: &FreeCapacity, cost: f64, count: usize| {
+        let mut consider = |free: &FreeCapacity, cost: f64, count: usize| {
             let n = free.fitting_tasks(spec).min(need);
             if n > 0 && best.is_none_or(|(c, b, _)| cost / f64::from(n) < c / f64::from(b)) {
                 best = Some((cost, n, count));
             }
         };
-        step(&free, 0.0, 0);
-        for (c, victim) in list {
-            let Some(v) = asker.stance(victim.0) else { continue };
-            free.release(v.spec);
-            cost += c;
+        consider(&free, 0.0, 0);
+        for (victim_cost, victim) in candidates {
+            let Some(eligibility) = requesting.eligibility(victim.0) else { continue };
+            free.release(eligibility.spec);
+            cost += victim_cost;
             victims.push(victim);
-            step(&free, cost, victims.len());
+            consider(&free, cost, victims.len());
         }
         let (cost, n, count) = best?;
         victims.truncate(count);
--- a/crates/core/src/placement/ranking.rs
+++ b/crates/core/src/placement/ranking.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs are served.
+//! Ranks the open jobs: the order in which placement serves them.
 
 use crate::state::fairness_accounting;
 use crate::state::job::{EPS, Job};
@@ -11,157 +11,173 @@
 use copperhaven_wire::jobs::{JobKind, Priority};
 use std::collections::BTreeMap;
 
-/// A job in the order in which it is served.
+/// A job's entry in the order in which jobs are served.
 #[derive(Debug, Clone, Copy)]
 pub struct RankedJob {
+    /// The job.
     pub id: JobId,
-    /// Within its team's guarantee, together with the team's earlier unfinished jobs.
+    /// Whether it is within its team's guarantee, counted together with the team's earlier unfinished jobs.
     pub guaranteed: bool,
+    /// The team that submitted it.
     pub team: TeamId,
-    /// Its team is served too little and has less than its share; how urgently its class is in
-    /// need within the team.
+    /// Whether its team is underserved and uses less than its share.
     pub team_underserved: bool,
+    /// How underserved its class is within the team.
     pub class_deficit: DeficitLevel,
 }
 
 impl RankedJob {
-    /// Does nothing of `v` make room for this one, because it is as much in need? Spared are a team
-    /// that is in need while this one is not, and a class that is as much in need.
-    pub(crate) fn is_barred_from_preempting(&self, v: &RankedJob) -> bool {
-        let team = v.team != self.team && v.team_underserved && !self.team_underserved;
-        team || v.class_deficit.is_protected_from(self.class_deficit)
+    /// Returns whether `victim` is protected from preemption by this job: its team is underserved while
+    /// this job's team is not, or its class is at least as underserved.
+    pub(crate) fn is_barred_from_preempting(&self, victim: &RankedJob) -> bool {
+        let protected_team =
+            victim.team != self.team && victim.team_underserved && !self.team_underserved;
+        protected_team || victim.class_deficit.is_protected_from(self.class_deficit)
     }
 }
 
-/// What jobs are served by while nobody is in need: beyond the guarantee, guest, precedence, turn, work,
-/// arrival, job.
+/// Sort key of jobs while no team or class is underserved: beyond the guarantee, of a team without a
+/// guarantee, priority, urgency, remaining work, arrival, job.
 type Rank = (bool, bool, Priority, u8, u64, u64, JobId);
 
-/// A job that has waited for so many of its spans goes before its equals; the second while its class is
-/// served too little.
-const FAR: f64 = 3.0;
-const FAR_SHORT: f64 = 12.0;
+/// A job that has waited for this many of its target spans goes before others of equal priority.
+const LONG_WAIT_SPANS: f64 = 3.0;
 
-/// One of its class's largest jobs of which nothing has begun after this long goes before its equals, while such jobs
-/// have less than a third of what its class uses: least work first would leave them for last for as long as a flood
-/// lasts, and users count a largest job that has not begun after four minutes as not served.
-const BEGIN_MS: i64 = 120_000;
-const LARGE_PART: f64 = 1.0 / 3.0;
+/// The same bound while the job's class is underserved.
+const LONG_WAIT_SPANS_UNDERSERVED: f64 = 12.0;
 
-/// CPUs that a class uses, and of them its largest jobs.
+/// A job among the largest of its class that has not started after this long goes before others of equal priority,
+/// while such jobs use less than `MAX_LARGE_JOB_SHARE` of what the class uses. Least work first would keep them last for
+/// as long as an overload lasts, and users regard a largest job that has not started after four minutes as not served.
+const LARGE_JOB_START_DELAY_MS: i64 = 120_000;
+
+/// The share of a class's used CPUs below which its delayed largest jobs go first.
+const MAX_LARGE_JOB_SHARE: f64 = 1.0 / 3.0;
+
+/// CPUs that a class of a team uses, and those of them that its largest jobs use.
 #[derive(Debug, Default)]
-struct Use {
-    all: f64,
-    large: f64,
+struct ClassUsage {
+    cpus: f64,
+    large_job_cpus: f64,
 }
 
-impl Use {
-    fn has_room(&self) -> bool {
-        self.large < self.all * LARGE_PART || self.all == 0.0
+impl ClassUsage {
+    /// Returns whether a delayed largest job may go first.
+    fn has_headroom(&self) -> bool {
+        self.large_job_cpus < self.cpus * MAX_LARGE_JOB_SHARE || self.cpus == 0.0
     }
 }
 
 impl LeaderState {
-    /// Open jobs in the order in which they are served: those within their team's guarantee first,
-    /// those of teams without one last, then by precedence. Among equals, those that can still be in time and have the least work
-    /// left go first; a job that has waited for three times its span goes before all of them. Where
-    /// a team or a class is served too little, that order is changed (`copperhaven_fairness::need`).
-    pub fn ranked_jobs(&self, needs: &Deficits, now: u64) -> Vec<RankedJob> {
-        let mut used = vec![(0.0, 0.0); self.team_usage.len()];
+    /// Returns the open jobs in the order in which they are served: those within their team's guarantee first,
+    /// those of teams without one last, then by priority. Among jobs of equal priority, those that can still be
+    /// in time and have the least work left go first; a job that has waited for three times its span goes before
+    /// all of them. Underserved teams and classes change that order (`copperhaven_fairness::deficit`).
+    pub fn ranked_jobs(&self, deficits: &Deficits, now: u64) -> Vec<RankedJob> {
+        let mut team_demand = vec![(0.0, 0.0); self.team_usage.len()];
         let mut open = self.queue.iter().filter_map(|(_, id)| self.jobs.get(id));
-        // What is used is only added up where it matters.
-        let any = open.any(|job| self.must_begin(job, now));
-        let large = if any { self.used_by_large() } else { BTreeMap::new() };
-        let mut places: Vec<QueueEntry<Rank, bool>> = Vec::new();
-        for (at, id) in &self.queue {
+        // Usage is only added up if a job's rank depends on it.
+        let any_delayed = open.any(|job| self.is_delayed_large_job(job, now));
+        let class_usage = if any_delayed { self.class_usage() } else { BTreeMap::new() };
+        let mut entries: Vec<QueueEntry<Rank, bool>> = Vec::new();
+        for (arrival, id) in &self.queue {
             let Some(job) = self.jobs.get(id) else { continue };
             let team = &self.settings.deployment.teams[job.spec.team.index()];
-            let sum = &mut used[job.spec.team.index()];
+            let sum = &mut team_demand[job.spec.team.index()];
             sum.0 += job.spec.cpus * f64::from(job.remaining_tasks());
             sum.1 += job.spec.gpus * f64::from(job.remaining_tasks());
-            let within = sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS;
-            let pair = fairness_accounting::fairness_pair(&job.spec);
-            let first = self.must_begin(job, now) && large.get(&pair).is_none_or(Use::has_room);
-            let (turn, work) =
-                if first { (0, 0) } else { self.turn(job, needs.class_deficit(pair), now) };
-            let rank = (!within, team.is_guest(), job.spec.priority, turn, work, *at, *id);
+            let guaranteed = sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS;
+            let team_class = fairness_accounting::fairness_pair(&job.spec);
+            let first = self.is_delayed_large_job(job, now)
+                && class_usage.get(&team_class).is_none_or(ClassUsage::has_headroom);
+            let (urgency, work) = if first {
+                (0, 0)
+            } else {
+                self.urgency_and_work(job, deficits.class_deficit(team_class), now)
+            };
+            let rank =
+                (!guaranteed, team.is_guest(), job.spec.priority, urgency, work, *arrival, *id);
             let cpus = job.spec.cpus * f64::from(job.waiting.len());
-            places.push(QueueEntry { team_class: pair, rank, cpus, item: within });
+            entries.push(QueueEntry { team_class, rank, cpus, item: guaranteed });
         }
-        order_by_deficit(&mut places, needs);
-        let ranked = |p: QueueEntry<Rank, bool>| RankedJob {
-            id: p.rank.6,
-            guaranteed: p.item,
-            team: TeamId(p.team_class.0.0),
-            team_underserved: needs.is_team_underserved(p.team_class.0),
-            class_deficit: needs.class_deficit(p.team_class),
+        order_by_deficit(&mut entries, deficits);
+        let ranked = |entry: QueueEntry<Rank, bool>| RankedJob {
+            id: entry.rank.6,
+            guaranteed: entry.item,
+            team: TeamId(entry.team_class.0.0),
+            team_underserved: deficits.is_team_underserved(entry.team_class.0),
+            class_deficit: deficits.class_deficit(entry.team_class),
         };
-        places.into_iter().map(ranked).collect()
+        entries.into_iter().map(ranked).collect()
     }
 
-    /// Who is served too little. Guests take what is left, however little that was.
+    /// Returns which teams and classes are underserved. A team without a guarantee never counts as an underserved
+    /// team: it takes what is left, however little that was.
     pub(crate) fn compute_deficits(&self) -> Deficits {
         if !self.fairness_ledger.has_underserved() {
             return Deficits::default();
         }
-        let mut claims: BTreeMap<Team, TeamDemand> = BTreeMap::new();
+        let mut demands: BTreeMap<Team, TeamDemand> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
             let team = &self.settings.deployment.teams[job.spec.team.index()];
-            let claim = claims.entry(Team(job.spec.team.0)).or_default();
-            claim.weight = if team.is_guest() { 0.0 } else { team.cpus.max(1.0) };
-            claim.used_cpus = self.team_usage.usage(job.spec.team).cpus;
-            claim.waiting_cpus += job.spec.cpus * f64::from(job.waiting.len());
-            claim.waiting_cpus = claim.waiting_cpus.min((team.cpus_max - claim.used_cpus).max(0.0));
+            let demand = demands.entry(Team(job.spec.team.0)).or_default();
+            demand.weight = if team.is_guest() { 0.0 } else { team.cpus.max(1.0) };
+            demand.used_cpus = self.team_usage.usage(job.spec.team).cpus;
+            demand.waiting_cpus += job.spec.cpus * f64::from(job.waiting.len());
+            demand.waiting_cpus =
+                demand.waiting_cpus.min((team.cpus_max - demand.used_cpus).max(0.0));
         }
         let cpus = self.machines.values().filter(|m| !m.leaving && !m.faulty).map(|m| m.cpus).sum();
-        self.fairness_ledger.compute_deficits(&claims, cpus)
+        self.fairness_ledger.compute_deficits(&demands, cpus)
     }
 
-    /// Is it one of its class's largest, and has waited long without anything of it having begun?
-    fn must_begin(&self, job: &Job, now: u64) -> bool {
-        let begun = job.gang_started || !job.placement_counts.is_empty() || !job.done.is_empty();
-        !begun
-            && now as i64 - job.eligible_mono_ms > BEGIN_MS
+    /// Returns whether the job is among the largest of its class and has waited for longer than
+    /// `LARGE_JOB_START_DELAY_MS` without any task placed or done.
+    fn is_delayed_large_job(&self, job: &Job, now: u64) -> bool {
+        let started = job.gang_started || !job.placement_counts.is_empty() || !job.done.is_empty();
+        !started
+            && now as i64 - job.eligible_mono_ms > LARGE_JOB_START_DELAY_MS
             && self.job_sizes.is_large(job.spec.class, job.spec.tasks)
     }
 
-    /// What the largest jobs of each team and class use, of all that it uses.
-    fn used_by_large(&self) -> BTreeMap<(Team, Class), Use> {
-        let mut out: BTreeMap<(Team, Class), Use> = BTreeMap::new();
+    /// Returns the CPUs that each team and class uses, and those of them that its largest jobs use.
+    fn class_usage(&self) -> BTreeMap<(Team, Class), ClassUsage> {
+        let mut usage: BTreeMap<(Team, Class), ClassUsage> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
             let cpus = job.spec.cpus * f64::from(job.placement_counts.values().sum::<u32>());
-            let of = out.entry(fairness_accounting::fairness_pair(&job.spec)).or_default();
-            of.all += cpus;
+            let entry = usage.entry(fairness_accounting::fairness_pair(&job.spec)).or_default();
+            entry.cpus += cpus;
             if self.job_sizes.is_large(job.spec.class, job.spec.tasks) {
-                of.large += cpus;
+                entry.large_job_cpus += cpus;
             }
         }
-        out
+        usage
     }
 
-    /// The work left of a job, in CPU milliseconds.
-    fn work_ms(&self, job: &Job) -> u64 {
+    /// Returns the expected remaining work of a job, in CPU milliseconds.
+    fn remaining_work_cpu_ms(&self, job: &Job) -> u64 {
         let run = self.run_times.expected_run_s(usize::MAX, job.spec.class, job.spec.estimate_s);
         (f64::from(job.remaining_tasks()) * job.spec.cpus.max(0.1) * run * 1000.0) as u64
     }
 
-    /// 0: has waited far too long, and goes by arrival; 1: may be in time; 2: is late already. Those
-    /// go by the work left.
-    fn turn(&self, job: &Job, need: DeficitLevel, now: u64) -> (u8, u64) {
+    /// Returns the job's urgency and the remaining work it is ranked by. Urgency 0: it has waited too long and is
+    /// ranked by arrival; 1: it may still be in time; 2: it is late already. The latter two are ranked by work.
+    fn urgency_and_work(&self, job: &Job, deficit: DeficitLevel, now: u64) -> (u8, u64) {
         let spec = &job.spec;
         let run = self.run_times.expected_run_s(usize::MAX, spec.class, spec.estimate_s);
         let span = 1.0 / self.deadline_rate(spec);
-        // A deadline counts from the submission, everything else from when nothing is missing.
-        let from =
+        // A deadline counts from the submission, any other span from when the job became eligible.
+        let counted_from =
             if spec.deadline_s.is_some() { job.accepted_mono_ms } else { job.eligible_mono_ms };
-        let age = (now as i64 - from) as f64 / 1000.0;
-        // Where a class is served too little nearly all its jobs have waited for long: by arrival the
-        // large ones would keep many small ones from being served at all.
-        let far = if need.is_underserved() { FAR_SHORT } else { FAR };
-        if age > far * span {
+        let age = (now as i64 - counted_from) as f64 / 1000.0;
+        // In an underserved class nearly all jobs have waited long: ranked by arrival, the large ones
+        // would keep many small ones from being served at all.
+        let long_wait_spans =
+            if deficit.is_underserved() { LONG_WAIT_SPANS_UNDERSERVED } else { LONG_WAIT_SPANS };
+        if age > long_wait_spans * span {
             return (0, 0);
         }
         let late = spec.kind == JobKind::Array && age + run > span;
-        (if late { 2 } else { 1 }, self.work_ms(job))
+        (if late { 2 } else { 1 }, self.remaining_work_cpu_ms(job))
     }
 }
--- a/crates/core/src/placement/team_limits.rs
+++ b/crates/core/src/placement/team_limits.rs
@@ -1,4 +1,4 @@
-//! Teams' limits: what of them is left, and work that is stopped for them.
+//! Teams' limits: the headroom that is left of them, and preemption of a team's own work within them.
 
 use crate::state::fairness_accounting;
 use crate::state::job::{EPS, JobSpec};
@@ -8,35 +8,43 @@
 use copperhaven_wire::jobs::JobKind;
 
 impl LeaderState {
-    /// How many more tasks of this shape the team's limit allows.
+    /// Returns how many more tasks of `spec` the team's limit allows, less what this pass has reserved of it.
     pub fn team_headroom(&self, spec: &JobSpec) -> u32 {
         let team = &self.settings.deployment.teams[spec.team.index()];
-        let (mut used, held) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
-        used.cpus += held.cpus;
-        used.gpus += held.gpus;
-        let part = |max: f64, used: f64, need: f64| {
-            if need <= 0.0 { 1e6 } else { ((max - used + EPS) / need).floor().clamp(0.0, 1e6) }
+        let (mut used, reserved) =
+            (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
+        used.cpus += reserved.cpus;
+        used.gpus += reserved.gpus;
+        let fitting = |max: f64, used: f64, per_task: f64| {
+            if per_task <= 0.0 {
+                1e6
+            } else {
+                ((max - used + EPS) / per_task).floor().clamp(0.0, 1e6)
+            }
         };
-        part(team.cpus_max, used.cpus, spec.cpus).min(part(team.gpus_max, used.gpus, spec.gpus))
-            as u32
+        fitting(team.cpus_max, used.cpus, spec.cpus).min(fitting(
+            team.gpus_max,
+            used.gpus,
+            spec.gpus,
+        )) as u32
     }
 
-    /// Keeps so much of the team's limit for this job that those served after it don't take what
-    /// gets free.
+    /// Reserves the job's part of the team's limit for the rest of this pass, so that jobs ranked after
+    /// it don't take what becomes free: one task of an array, else all waiting tasks.
     pub(crate) fn reserve_team_limit(&mut self, id: JobId, spec: &JobSpec) {
-        let n = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
-        let n = if spec.kind == JobKind::Array { n.min(1.0) } else { n };
-        self.team_usage.hold(spec, n);
+        let waiting = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
+        let tasks = if spec.kind == JobKind::Array { waiting.min(1.0) } else { waiting };
+        self.team_usage.hold(spec, tasks);
     }
 
-    /// Would the team's limit allow `n` tasks if all its lower work were stopped? Gangs are not
-    /// stopped for it.
+    /// Returns whether the team's limit would allow `n` tasks if all its work of lower priority were
+    /// stopped, except for gangs: these are not stopped for it.
     pub(crate) fn can_fit_limit_by_preemption(&self, spec: &JobSpec, n: u32) -> bool {
         let team = &self.settings.deployment.teams[spec.team.index()];
         let mut used = self.team_usage.held(spec.team);
-        let split = self.team_usage.usage_by_priority(spec.team);
-        let above = &split.non_gang[..=spec.priority as usize];
-        for u in above.iter().chain(&split.gang) {
+        let usage = self.team_usage.usage_by_priority(spec.team);
+        let not_lower = &usage.non_gang[..=spec.priority as usize];
+        for u in not_lower.iter().chain(&usage.gang) {
             used.cpus += u.cpus;
             used.gpus += u.gpus;
         }
@@ -44,17 +52,16 @@
             && used.gpus + spec.gpus * f64::from(n) <= team.gpus_max + EPS
     }
 
-    /// Does the team have work of lower priority on machines, gangs apart? Only that is stopped for
-    /// its limit.
+    /// Returns whether the team has non-gang work of lower priority on machines: the only work that is
+    /// stopped for its limit.
     pub(crate) fn has_lower_priority_work(&self, spec: &JobSpec) -> bool {
         let lower =
             &self.team_usage.usage_by_priority(spec.team).non_gang[spec.priority as usize + 1..];
         lower.iter().any(|u| u.cpus > EPS || u.gpus > EPS)
     }
 
-    /// A team's tasks that could be stopped for its limit, by class and priority: gathered once in a pass, when somebody
-    /// first asks. Looking through all machines for each job that waits took 60% of the controllers' processor time in a
-    /// flood.
+    /// Gathers a team's tasks that could be stopped for its limit, by class and priority, on first use in a pass.
+    /// Searching all machines for each waiting job took 60% of the controllers' processor time under overload.
     fn gather_stoppable(&mut self, team: TeamId, now: u64) {
         if self.stoppable.len() < self.team_usage.len() {
             self.stoppable.resize(self.team_usage.len(), None);
@@ -63,7 +70,7 @@
             return;
         }
         let mut groups: Vec<StoppableGroup> = Vec::new();
-        for (mid, m) in &self.machines {
+        for (machine_id, m) in &self.machines {
             for ((id, task), e) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else { continue };
                 if job.spec.team == team
@@ -71,12 +78,12 @@
                     && e.stop_requested.is_none()
                 {
                     let lost_s = self.lost_s(&job.spec, e, now);
-                    let at = (*mid, *id, *task, e.attempt);
+                    let placement = (*machine_id, *id, *task, e.attempt);
                     StoppableGroup::add(
                         &mut groups,
                         (fairness_accounting::fairness_pair(&job.spec), job.guaranteed),
                         &job.spec,
-                        at,
+                        placement,
                         lost_s,
                     );
                 }
@@ -88,81 +95,83 @@
         self.stoppable[team.index()] = Some(groups);
     }
 
-    /// What is to be stopped of a team, the cheapest first, so that so much more of its limit is free. None: there is
-    /// too little.
+    /// Returns the cheapest tasks of the team to stop so that `shortfall` of its limit becomes free, or `None` if too
+    /// little can be stopped.
     pub(crate) fn select_limit_victims(
         &mut self,
         (spec, guaranteed): (&JobSpec, bool),
-        lack: Usage,
+        shortfall: Usage,
         now: u64,
     ) -> Option<Vec<Stoppable>> {
-        let enough = |lack: Usage| lack.cpus <= EPS && lack.gpus <= EPS;
-        if enough(lack) {
+        let is_covered = |shortfall: Usage| shortfall.cpus <= EPS && shortfall.gpus <= EPS;
+        if is_covered(shortfall) {
             return Some(vec![]);
         }
         self.gather_stoppable(spec.team, now);
-        let own = self.deficits.class_deficit(fairness_accounting::fairness_pair(spec));
-        let LeaderState { stoppable, deficits: needs, machines, .. } = self;
+        let own_deficit = self.deficits.class_deficit(fairness_accounting::fairness_pair(spec));
+        let LeaderState { stoppable, deficits, machines, .. } = self;
         let groups = stoppable[spec.team.index()].iter_mut().flatten();
-        // Nobody makes room who is as much in need as the one that wants it, or is served before it: what that one runs
-        // within the guarantee would take the room again, over and over, and neither would ever be done.
-        let lower = |g: &&mut StoppableGroup| {
+        // Work of a class that is at least as underserved is protected, and so is work that is served before the
+        // requesting job: within the guarantee it would take the headroom again in each pass, and neither job would
+        // ever be done.
+        let preemptible = |g: &&mut StoppableGroup| {
             g.priority > spec.priority
                 && (guaranteed || !g.guaranteed)
-                && !needs.class_deficit(g.pair).is_protected_from(own)
+                && !deficits.class_deficit(g.pair).is_protected_from(own_deficit)
         };
-        let mut groups: Vec<&mut StoppableGroup> = groups.filter(lower).collect();
-        let all = |f: fn(&Usage) -> f64| groups.iter().map(|g| f(&g.usage)).sum::<f64>();
-        if lack.cpus > all(|u| u.cpus) + EPS || lack.gpus > all(|u| u.gpus) + EPS {
+        let mut groups: Vec<&mut StoppableGroup> = groups.filter(preemptible).collect();
+        let total = |f: fn(&Usage) -> f64| groups.iter().map(|g| f(&g.usage)).sum::<f64>();
+        if shortfall.cpus > total(|u| u.cpus) + EPS || shortfall.gpus > total(|u| u.gpus) + EPS {
             return None;
         }
-        // Of each so many are left to choose from. Some have left or been stopped since they were gathered.
-        let mut left: Vec<usize> = groups.iter().map(|g| g.tasks.len()).collect();
-        let (mut stops, mut lack) = (vec![], lack);
-        while !enough(lack) {
-            let cheapest = |i: &usize| groups[*i].tasks[left[*i] - 1].lost_s;
+        // The number of tasks of each group left to choose from, the cheapest last. Some have left or been stopped since
+        // they were gathered.
+        let mut remaining: Vec<usize> = groups.iter().map(|g| g.tasks.len()).collect();
+        let (mut victims, mut shortfall) = (vec![], shortfall);
+        while !is_covered(shortfall) {
+            let cheapest = |i: &usize| groups[*i].tasks[remaining[*i] - 1].lost_s;
             let next = (0..groups.len())
-                .filter(|i| left[*i] > 0)
+                .filter(|i| remaining[*i] > 0)
                 .min_by(|a, b| cheapest(a).total_cmp(&cheapest(b)))?;
-            left[next] -= 1;
-            let s = groups[next].tasks[left[next]];
-            let there =
+            remaining[next] -= 1;
+            let s = groups[next].tasks[remaining[next]];
+            let assignment =
                 machines.get(&s.machine_id).and_then(|m| m.assignments.get(&(s.id, s.task)));
-            // One that left and was placed there again is listed twice.
-            if there.is_some_and(|e| e.stop_requested.is_none() && e.attempt == s.attempt) {
-                lack.cpus -= s.usage.cpus;
-                lack.gpus -= s.usage.gpus;
-                stops.push(s);
+            // A task that left and was placed there again is listed twice, with different attempts.
+            if assignment.is_some_and(|e| e.stop_requested.is_none() && e.attempt == s.attempt) {
+                shortfall.cpus -= s.usage.cpus;
+                shortfall.gpus -= s.usage.gpus;
+                victims.push(s);
             }
         }
-        for (g, n) in groups.iter_mut().zip(left) {
+        for (g, n) in groups.iter_mut().zip(remaining) {
             g.truncate(n);
         }
-        Some(stops)
+        Some(victims)
     }
 
-    /// A job that waits for its own team's limit has the team's work of lower priority stopped,
-    /// the cheapest first. Returns whether it now waits for tasks that are being stopped.
+    /// Stops the team's cheapest work of lower priority for a job that waits for the team's limit.
+    /// Returns whether the job now waits for tasks that are being stopped.
     pub(crate) fn preempt_for_team_limit(&mut self, id: JobId, spec: &JobSpec, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let team = &self.settings.deployment.teams[spec.team.index()];
-        let n = if spec.kind == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
-        let (used, held) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
+        let tasks = if spec.kind == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
+        let (used, reserved) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
         let stopping = self.team_usage.stopping(spec.team);
-        let lack = Usage {
-            cpus: used.cpus + held.cpus + spec.cpus * n - team.cpus_max - stopping.cpus,
-            gpus: used.gpus + held.gpus + spec.gpus * n - team.gpus_max - stopping.gpus,
+        let shortfall = Usage {
+            cpus: used.cpus + reserved.cpus + spec.cpus * tasks - team.cpus_max - stopping.cpus,
+            gpus: used.gpus + reserved.gpus + spec.gpus * tasks - team.gpus_max - stopping.gpus,
         };
         let guaranteed = job.guaranteed;
-        let Some(stops) = self.select_limit_victims((spec, guaranteed), lack, now) else {
+        let Some(victims) = self.select_limit_victims((spec, guaranteed), shortfall, now) else {
             return false;
         };
-        if !stops.is_empty() {
-            let count = stops.len();
-            tracing::info!("preempt {count} tasks for {}: its team's limit", spec.uid);
+        if !victims.is_empty() {
+            let count = victims.len();
+            tracing::info!("preempt {count} tasks for {} (team limit)", spec.uid);
         }
-        for s in stops {
-            let grace = self.jobs.get(&s.id).map_or(0.0, |v| {
+        for s in victims {
+            let grace_s = self.jobs.get(&s.id).map_or(0.0, |v| {
                 if v.spec.checkpoint_interval_s > 0.0 {
                     v.spec.checkpoint_save_s + 1.0
                 } else {
@@ -173,7 +182,7 @@
             if let Some(v) = self.jobs.get_mut(&s.id) {
                 v.preempted += 1;
             }
-            self.stop_task(s.machine_id, s.id, s.task, now, grace);
+            self.stop_task(s.machine_id, s.id, s.task, now, grace_s);
         }
         self.reserve_team_limit(id, spec);
         true
