--- a/crates/core/src/admission/feasibility.rs
+++ b/crates/core/src/admission/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a submission can ever run (protocol, status 422).
+//! Checks whether a submission can ever run; if not, it is refused with status 422.
 
 use crate::settings::Settings;
 use crate::state::fleet::MachineType;
@@ -6,30 +6,35 @@
 use crate::state::names::*;
 use copperhaven_wire::jobs::{JobBody, JobKind};
 
-/// A job that can never run (protocol, status 422), and why.
+/// The error for a job that can never run, with the reason given to the user (status 422).
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("can never run: {0}")]
-pub struct Never(pub String);
+pub struct Infeasible(pub String);
 
-/// Maps names to indices and says what can never run.
+/// Resolves the names in a submission to indices, interning its class and image.
+///
+/// # Errors
+///
+/// If the job can never run: unknown team or zone, no machine type that fits a task, more than the team's limit, or
+/// contradictory zone requirements.
 pub fn resolve_spec(
     job: &JobBody,
     names: &mut Names,
-    flavors: &[MachineType],
+    machine_types: &[MachineType],
     settings: &Settings,
-) -> Result<JobSpec, Never> {
-    let never = |why: String| Err(Never(why));
+) -> Result<JobSpec, Infeasible> {
+    let infeasible = |reason: String| Err(Infeasible(reason));
     let Some(team) = names.teams.get(&job.team) else {
-        return never(format!("unknown team {}", job.team));
+        return infeasible(format!("unknown team {}", job.team));
     };
     let zone = match &job.zone {
         None => None,
         Some(z) => match names.zones.get(z) {
             Some(z) => Some(z),
-            None => return never(format!("unknown zone {z}")),
+            None => return infeasible(format!("unknown zone {z}")),
         },
     };
-    let types: Vec<TypeId> = flavors
+    let allowed_types: Vec<TypeId> = machine_types
         .iter()
         .enumerate()
         .filter(|(_, f)| job.machine_types.as_ref().is_none_or(|b| b.contains(&f.label)))
@@ -37,16 +42,16 @@
         .filter(|(_, f)| job.cpus <= f.cpus && job.gpus <= f.gpus && job.mem_gb <= f.mem_gb)
         .map(|(i, _)| TypeId::from(i))
         .collect();
-    if types.is_empty() {
-        return never("a task fits no allowed machine type".into());
+    if allowed_types.is_empty() {
+        return infeasible("a task fits no allowed machine type".into());
     }
     let limit = &settings.deployment.teams[team.index()];
     let tasks = if job.kind == JobKind::Array { 1.0 } else { job.tasks as f64 };
     if job.cpus * tasks > limit.cpus_max + EPS || job.gpus * tasks > limit.gpus_max + EPS {
-        return never(format!("needs more than the limit of {}", job.team));
+        return infeasible(format!("needs more than the limit of {}", job.team));
     }
     if job.one_zone && job.spread && job.tasks > 1 && job.kind != JobKind::Array {
-        return never("all tasks in one zone, yet at most half of them in one".into());
+        return infeasible("all tasks in one zone, yet at most half of them in one".into());
     }
     Ok(JobSpec {
         uid: job.uid.as_str().into(),
@@ -60,7 +65,7 @@
         mem_gb: job.mem_gb,
         image: names.images.intern(&job.image),
         image_gb: job.image_gb,
-        machine_types: types,
+        machine_types: allowed_types,
         zone,
         one_zone: job.one_zone,
         spread: job.spread,
@@ -80,10 +85,10 @@
     type Edit = fn(&mut JobBody);
 
     #[test]
-    fn what_can_never_run() {
+    fn infeasible_jobs_are_refused_with_a_reason() {
         let settings = crate::for_tests::sample_settings();
         let mut names = Names::new(&settings);
-        let flavors = crate::for_tests::sample_machine_types(&mut names);
+        let machine_types = crate::for_tests::sample_machine_types(&mut names);
         let cases: [(Option<&str>, Edit); 10] = [
             (None, |_| ()),
             // A team with neither guarantee nor limit is served like any other.
@@ -102,7 +107,7 @@
         for (i, (expect, edit)) in cases.into_iter().enumerate() {
             let mut b = body("wk-1");
             edit(&mut b);
-            let got = resolve_spec(&b, &mut names, &flavors, &settings);
+            let got = resolve_spec(&b, &mut names, &machine_types, &settings);
             match expect {
                 None => assert!(got.is_ok(), "case {i}: {got:?}"),
                 Some(word) => {
--- a/crates/core/src/admission/index.rs
+++ b/crates/core/src/admission/index.rs
@@ -1,37 +1,38 @@
 //! Admission and routing by the individually optimal index.
 //!
-//! For a pool with m slots, x tasks routed to it, rate μ for a task and deadline rate θ, the
-//! index ν is the probability that one more task would miss its deadline. With j = x − m + 1:
-//! ν = 1 − μ/(μ+θ)·(mμ/(mμ+θ))^max(j,0). The code keeps ln(1−ν): a huge queue rounds ν to 1,
-//! but not its logarithm, so that order and `ν < 1` survive.
+//! For a pool with m slots, x tasks that run there or are routed to it, completion rate μ of a task and
+//! deadline rate θ, the index ν is the probability that one more task would miss its deadline. With
+//! j = x − m + 1: ν = 1 − μ/(μ+θ)·(mμ/(mμ+θ))^max(j,0). The code computes ln(1−ν): for a huge queue ν
+//! rounds to 1, but ln(1−ν) stays finite, which keeps the order of pools and `ν < 1`.
 
 use crate::state::job::{EPS, JobSpec};
 use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
 
-/// ln(1−ν); minus infinity where ν is 1. The lowest ν has the highest value.
+/// Returns ln(1−ν), the logarithm of the probability to meet the deadline; minus infinity if ν is 1. The
+/// pool with the lowest ν has the highest value.
 pub fn ln_meet_probability(m: f64, x: f64, mu: f64, theta: f64) -> f64 {
     if mu <= 0.0 {
         return f64::NEG_INFINITY;
     }
-    let first = -(theta / mu).ln_1p();
+    let ln_run_in_time = -(theta / mu).ln_1p();
     let j = x - m + 1.0;
     if j <= 0.0 {
-        first
+        ln_run_in_time
     } else if m <= 0.0 {
         f64::NEG_INFINITY
     } else {
-        first - j * (theta / (m * mu)).ln_1p()
+        ln_run_in_time - j * (theta / (m * mu)).ln_1p()
     }
 }
 
-/// ν itself, for display.
+/// Returns ν, the probability to miss the deadline, from ln(1−ν).
 pub fn miss_probability(ln_meet: f64) -> f64 {
     -ln_meet.exp_m1()
 }
 
-/// Is ν below the rejection cost R?
-pub fn admits(ln_meet: f64, rejection_cost: f64) -> bool {
+/// Returns whether ν is below the rejection cost; always true for a cost above 1.
+pub fn is_below_rejection_cost(ln_meet: f64, rejection_cost: f64) -> bool {
     if rejection_cost > 1.0 {
         true
     } else if rejection_cost == 1.0 {
@@ -41,70 +42,78 @@
     }
 }
 
-/// A pool as an arriving job sees it, in units of the job's task.
+/// A pool as an arriving job sees it, in units of the job's tasks; named by the symbols of the index.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolView {
+    /// Index of the pool (`LeaderState::pool_index`).
     pub pool: usize,
+    /// Number of slots.
     pub m: f64,
+    /// Number of tasks that run there or are routed there.
     pub x: f64,
+    /// Completion rate of a task, per second.
     pub mu: f64,
 }
 
-/// Routes `n` tasks, each to the pool of the lowest index, raising its x. Long arrays go in at
-/// most `steps` equal steps. Returns how many each pool got and the best index met first.
-pub fn route(views: &mut [PoolView], theta: f64, n: u32, steps: u32) -> (Vec<u32>, f64) {
-    let mut got = vec![0; views.len()];
+/// Routes `n` tasks, each to the pool with the lowest ν, raising its x. Long arrays are routed in at
+/// most `steps` equal steps. Returns how many tasks each pool got, and the best ln(1−ν) before routing.
+pub fn route_tasks(views: &mut [PoolView], theta: f64, n: u32, steps: u32) -> (Vec<u32>, f64) {
+    let mut routed = vec![0; views.len()];
     let value = |v: &PoolView| ln_meet_probability(v.m, v.x, v.mu, theta);
     let mut values: Vec<f64> = views.iter().map(value).collect();
     let best = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     if views.is_empty() {
-        return (got, best);
+        return (routed, best);
     }
     let step = n.div_ceil(steps.max(1)).max(1);
-    let mut left = n;
-    while left > 0 {
+    let mut remaining = n;
+    while remaining > 0 {
         let mut top = 0;
         for (i, v) in values.iter().enumerate() {
             if *v > values[top] {
                 top = i;
             }
         }
-        let take = step.min(left);
-        got[top] += take;
-        left -= take;
-        views[top].x += f64::from(take);
+        let count = step.min(remaining);
+        routed[top] += count;
+        remaining -= count;
+        views[top].x += f64::from(count);
         values[top] = value(&views[top]);
     }
-    (got, best)
+    (routed, best)
 }
 
-/// By pool: what runs and is routed there, in machines, and ordinary and spot machines that are up, boot.
+/// Load and machines of all pools, by pool.
 #[derive(Debug, Clone)]
 pub struct PoolLoad {
+    /// Tasks that run or are routed there, in machines.
     load: Vec<f64>,
+    /// Ordinary machines that are usable or boot.
     ordinary: Vec<f64>,
+    /// Spot machines that are usable or boot.
     spot: Vec<f64>,
 }
 
 impl PoolLoad {
-    fn up(&mut self, pool: usize, spot: bool) {
+    fn add_machine(&mut self, pool: usize, spot: bool) {
         let machines = if spot { &mut self.spot } else { &mut self.ordinary };
         machines[pool] += 1.0;
     }
 }
 
 impl LeaderState {
-    /// The share of a machine of this type that one task takes.
+    /// Returns the share of a machine of this type that one task takes, by the resource it needs most of; at
+    /// least 1/256.
     pub fn machine_share(&self, spec: &JobSpec, kind: TypeId) -> f64 {
-        let f = &self.machine_types[kind.index()];
-        let part = |a: f64, b: f64| if a <= 0.0 { 0.0 } else { a / b.max(1e-9) };
-        part(spec.cpus, f.cpus)
-            .max(part(spec.mem_gb, f.mem_gb))
-            .max(part(spec.gpus, f.gpus))
+        let machine_type = &self.machine_types[kind.index()];
+        let share = |need: f64, total: f64| if need <= 0.0 { 0.0 } else { need / total.max(1e-9) };
+        share(spec.cpus, machine_type.cpus)
+            .max(share(spec.mem_gb, machine_type.mem_gb))
+            .max(share(spec.gpus, machine_type.gpus))
             .max(1.0 / 256.0)
     }
 
-    /// θ: one over the job's deadline span, its class's objective, or the default.
+    /// Returns the deadline rate θ, per second: one over the job's deadline span, its class's objective, or the default.
     pub fn deadline_rate(&self, spec: &JobSpec) -> f64 {
         let span = spec
             .deadline_s
@@ -113,44 +122,45 @@
         1.0 / span.max(0.1)
     }
 
-    /// Every pool that the job may use. Slots count machines that are up and sound, that boot,
-    /// and one that could be rented where the cloud has not just refused.
-    pub fn views(&self, spec: &JobSpec, now: u64) -> Vec<PoolView> {
-        self.views_of(&self.pool_load(now), spec, now)
+    /// Returns every pool that the job may use. Slots are counted on usable machines, on machines that
+    /// boot, and on one that could be rented, unless the cloud has just refused one there.
+    pub fn pool_views(&self, spec: &JobSpec, now: u64) -> Vec<PoolView> {
+        self.pool_views_with_load(&self.pool_load(now), spec, now)
     }
 
-    /// What all pools have and are asked for, as every job sees it.
+    /// Returns the load and the machines of all pools; the same for every job.
     pub fn pool_load(&self, now: u64) -> PoolLoad {
-        let silence = self.report_timeout_ms();
-        let none = || vec![0.0; self.pool_count()];
-        let mut all = PoolLoad { load: none(), ordinary: none(), spot: none() };
+        let report_timeout_ms = self.report_timeout_ms();
+        let zeros = || vec![0.0; self.pool_count()];
+        let mut pools = PoolLoad { load: zeros(), ordinary: zeros(), spot: zeros() };
         for m in self.machines.values() {
-            let p = self.pool_index(m.zone, m.machine_type);
-            if m.is_usable(now, silence) {
-                all.up(p, m.spot);
+            let pool = self.pool_index(m.zone, m.machine_type);
+            if m.is_usable(now, report_timeout_ms) {
+                pools.add_machine(pool, m.spot);
             }
-            all.load[p] += (m.used_cpus / m.cpus).max(m.used_mem / m.mem_gb);
+            pools.load[pool] += (m.used_cpus / m.cpus).max(m.used_mem / m.mem_gb);
         }
         for b in self.viable_boots(now) {
-            all.up(self.pool_index(b.zone, b.machine_type), b.spot);
+            pools.add_machine(self.pool_index(b.zone, b.machine_type), b.spot);
         }
         for (_, id) in &self.queue {
             let Some(job) = self.jobs.get(id) else { continue };
-            self.add_routed(&mut all, &job.spec, &job.routed_by_pool);
+            self.add_routed(&mut pools, &job.spec, &job.routed_by_pool);
         }
-        all
+        pools
     }
 
-    /// Tasks of a job that were routed.
-    pub fn add_routed(&self, all: &mut PoolLoad, spec: &JobSpec, routed: &[u32]) {
-        let kinds = self.machine_types.len();
-        for (p, n) in routed.iter().enumerate().filter(|(_, n)| **n > 0) {
-            all.load[p] += f64::from(*n) * self.machine_share(spec, TypeId::from(p % kinds));
+    /// Adds the routed tasks of a job, given by pool, to the load.
+    pub fn add_routed(&self, pools: &mut PoolLoad, spec: &JobSpec, routed: &[u32]) {
+        let type_count = self.machine_types.len();
+        for (pool, n) in routed.iter().enumerate().filter(|(_, n)| **n > 0) {
+            pools.load[pool] +=
+                f64::from(*n) * self.machine_share(spec, TypeId::from(pool % type_count));
         }
     }
 
-    fn views_of(&self, all: &PoolLoad, spec: &JobSpec, now: u64) -> Vec<PoolView> {
-        let mut out = Vec::new();
+    fn pool_views_with_load(&self, pools: &PoolLoad, spec: &JobSpec, now: u64) -> Vec<PoolView> {
+        let mut views = Vec::new();
         for kind in &spec.machine_types {
             let share = self.machine_share(spec, *kind);
             for zone in &self.machine_types[kind.index()].zones {
@@ -159,40 +169,44 @@
                 }
                 let pool = self.pool_index(*zone, *kind);
                 let rentable = self.fleet.is_rentable(*kind, *zone, spec.spot, now);
-                let spot = if spec.spot { all.spot[pool] } else { 0.0 };
-                let up = all.ordinary[pool] + spot + if rentable { 1.0 } else { 0.0 };
-                let run = self.run_times.expected_run_s(pool, spec.class, spec.estimate_s);
-                out.push(PoolView {
+                let spot = if spec.spot { pools.spot[pool] } else { 0.0 };
+                let machines = pools.ordinary[pool] + spot + if rentable { 1.0 } else { 0.0 };
+                let run_s = self.run_times.expected_run_s(pool, spec.class, spec.estimate_s);
+                views.push(PoolView {
                     pool,
-                    m: up * (1.0 / share + EPS).floor(),
-                    x: all.load[pool] / share,
-                    mu: 1.0 / run,
+                    m: machines * (1.0 / share + EPS).floor(),
+                    x: pools.load[pool] / share,
+                    mu: 1.0 / run_s,
                 });
             }
         }
-        out
+        views
     }
 
-    /// Decides on an arriving job and routes its tasks; Err carries the lowest index.
+    /// Decides whether an arriving job is admitted, and returns how many of its tasks are routed to each pool.
+    ///
+    /// # Errors
+    ///
+    /// The lowest ν of all pools, if the job has a deadline and that is not below the rejection cost.
     pub fn admit(&self, spec: &JobSpec, now: u64) -> Result<Vec<u32>, f64> {
         self.admit_after_wait(spec, 0.0, now)
     }
 
-    /// The same, where what all pools have and are asked for is known: many at once don't look through all
-    /// machines and jobs each.
+    /// Like `admit`, with the load of all pools given: if many jobs are admitted at once, machines and jobs are
+    /// not iterated over for each of them.
     pub fn admit_with_load(
         &self,
-        all: &PoolLoad,
+        pools: &PoolLoad,
         spec: &JobSpec,
         now: u64,
     ) -> Result<Vec<u32>, f64> {
-        self.admit_views(self.views_of(all, spec, now), spec, 0.0)
+        self.admit_views(self.pool_views_with_load(pools, spec, now), spec, 0.0)
     }
 
-    /// The same for a job that first waits for others, about so many seconds: the test is on what
-    /// that leaves of its deadline.
+    /// Like `admit`, for a job whose dependencies are expected to be done in `wait_s` seconds: it is
+    /// admitted by what that leaves of its deadline.
     pub fn admit_after_wait(&self, spec: &JobSpec, wait_s: f64, now: u64) -> Result<Vec<u32>, f64> {
-        self.admit_views(self.views(spec, now), spec, wait_s)
+        self.admit_views(self.pool_views(spec, now), spec, wait_s)
     }
 
     fn admit_views(
@@ -206,12 +220,14 @@
             None => self.deadline_rate(spec),
         };
         let steps = self.settings.tuning.route_chunk;
-        let (got, best) = route(&mut views, theta, spec.tasks, steps);
-        if spec.deadline_s.is_some() && !admits(best, self.settings.tuning.rejection_cost) {
+        let (routed_by_view, best) = route_tasks(&mut views, theta, spec.tasks, steps);
+        if spec.deadline_s.is_some()
+            && !is_below_rejection_cost(best, self.settings.tuning.rejection_cost)
+        {
             return Err(miss_probability(best));
         }
         let mut routed = vec![0; self.pool_count()];
-        for (v, n) in views.iter().zip(got) {
+        for (v, n) in views.iter().zip(routed_by_view) {
             routed[v.pool] += n;
         }
         Ok(routed)
@@ -223,8 +239,8 @@
     use super::*;
     use crate::state::run_times::RunTimes;
 
-    /// The miss probability by numerical integration, independent of the closed form: the wait
-    /// is Erlang(j, mμ), the run exponential, the deadline exponential. P(meet) is
+    /// Computes the miss probability by numerical integration, independently of the closed form: the wait
+    /// is Erlang(j, mμ), the run time exponential, the deadline exponential. P(meet) is
     /// E[e^(−θ·wait)]·E[e^(−θ·run)], each integrated by Simpson's rule.
     fn by_integration(m: f64, x: f64, mu: f64, theta: f64) -> f64 {
         let laplace = |density: &dyn Fn(f64) -> f64, end: f64| {
@@ -270,36 +286,40 @@
 
     #[test]
     fn extremes_keep_their_order() {
-        // No slot at all: certain to miss.
+        // Without slots a miss is certain.
         assert_eq!(ln_meet_probability(0.0, 0.0, 0.05, 0.01), f64::NEG_INFINITY);
-        // Where ν rounds to 1, the order and `ν < 1` must survive (huge arrays).
+        // For huge arrays ν rounds to 1; the order and `ν < 1` must be kept.
         let (a, b) = (
             ln_meet_probability(4.0, 90_000.0, 0.05, 0.02),
             ln_meet_probability(4.0, 90_001.0, 0.05, 0.02),
         );
         assert!(miss_probability(a) == 1.0 && a > b && b.is_finite());
-        assert!(admits(b, 1.0) && !admits(b, 0.999) && admits(b, 1.1));
-        assert!(!admits(f64::NEG_INFINITY, 1.0));
-        // Tiny θ: nothing is late. Huge θ: everything is.
+        assert!(
+            is_below_rejection_cost(b, 1.0)
+                && !is_below_rejection_cost(b, 0.999)
+                && is_below_rejection_cost(b, 1.1)
+        );
+        assert!(!is_below_rejection_cost(f64::NEG_INFINITY, 1.0));
+        // With a tiny θ nothing is late, with a huge θ everything.
         assert!(miss_probability(ln_meet_probability(1.0, 100.0, 1.0, 1e-12)) < 1e-9);
         assert!(miss_probability(ln_meet_probability(1.0, 0.0, 1.0, 1e12)) > 0.999_999);
-        assert!(!admits(ln_meet_probability(1.0, 0.0, 1.0, 3.0), 0.5));
+        assert!(!is_below_rejection_cost(ln_meet_probability(1.0, 0.0, 1.0, 3.0), 0.5));
     }
 
     #[test]
-    fn failures_do_not_raise_the_rate_and_routing_fills_evenly() {
-        let mut rates = RunTimes::new(2, 10.0);
+    fn run_times_average_completed_runs_and_routing_balances_pools() {
+        let mut run_times = RunTimes::new(2, 10.0);
         let class = ClassId(0);
-        assert_eq!(rates.expected_run_s(0, class, 30.0), 30.0);
-        rates.record_run(0, class, 10.0);
-        rates.record_run(0, class, 20.0);
-        assert_eq!(rates.expected_run_s(0, class, 30.0), 15.0);
-        assert_eq!(rates.expected_run_s(1, class, 30.0), 15.0);
+        assert_eq!(run_times.expected_run_s(0, class, 30.0), 30.0);
+        run_times.record_run(0, class, 10.0);
+        run_times.record_run(0, class, 20.0);
+        assert_eq!(run_times.expected_run_s(0, class, 30.0), 15.0);
+        assert_eq!(run_times.expected_run_s(1, class, 30.0), 15.0);
         let view = |pool, m| PoolView { pool, m, x: 0.0, mu: 0.05 };
-        let (got, _) = route(&mut [view(0, 10.0), view(1, 30.0)], 0.02, 400, 1000);
-        assert_eq!(got.iter().sum::<u32>(), 400);
-        assert!((90..=110).contains(&got[0]), "{got:?}");
-        let (got, _) = route(&mut [view(0, 10.0), view(1, 30.0)], 0.02, 100_000, 1000);
-        assert!((24_000..=26_000).contains(&got[0]), "{got:?}");
+        let (routed, _) = route_tasks(&mut [view(0, 10.0), view(1, 30.0)], 0.02, 400, 1000);
+        assert_eq!(routed.iter().sum::<u32>(), 400);
+        assert!((90..=110).contains(&routed[0]), "{routed:?}");
+        let (routed, _) = route_tasks(&mut [view(0, 10.0), view(1, 30.0)], 0.02, 100_000, 1000);
+        assert!((24_000..=26_000).contains(&routed[0]), "{routed:?}");
     }
 }
