--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet: what to rent for the work that waits, and what to give back.
+//! The fleet of rented machines: what to rent for waiting work, and what to return to the cloud.
 
 pub mod demand;
 pub mod rentals;
