--- a/crates/core/src/pipelines/mod.rs
+++ b/crates/core/src/pipelines/mod.rs
@@ -1,6 +1,7 @@
-//! Pipelines: jobs that wait until others are done. Who may start, and who is cancelled with whom,
-//! follows from what is recorded: the links in a waiting job's record and the final records of
-//! those that it names. Priority and urgency flow from the last job back to those before it.
+//! Pipelines: jobs that depend on other jobs. Which jobs may start, and which are cancelled with
+//! others, follows from what is recorded: the dependencies in a waiting job's record and the final
+//! records of the jobs that it names. Priorities and deadlines propagate from a job back to its
+//! dependencies.
 
 pub mod propagation;
 pub mod submission;
