--- a/crates/controller/src/node/authority.rs
+++ b/crates/controller/src/node/authority.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns whether the state service failed to answer when it was last asked for the leader.
+    /// Returns whether the state service failed to answer the last request of the leadership loop.
     pub(super) fn is_state_service_down(&self) -> bool {
         self.state.lock().expect("lock").state_service_down_since_ms.is_some()
     }
--- a/crates/controller/src/node/serve.rs
+++ b/crates/controller/src/node/serve.rs
@@ -1,4 +1,4 @@
-//! Answering as leader, or passing on to it.
+//! Answers requests as leader, or forwards them to the leader.
 
 use crate::cluster::frames::Op;
 use crate::node::Node;
@@ -9,22 +9,24 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-const FORWARD: Duration = Duration::from_millis(1500);
-const REPORT_FORWARD: Duration = Duration::from_millis(1900);
+/// How long a forwarded submission, cancellation or report waits for the leader's answer.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(1500);
+const REPORT_FORWARD_TIMEOUT: Duration = Duration::from_millis(1900);
 
-/// The answer of a node that neither leads nor reaches a leader.
+/// HTTP status for a request that this controller cannot answer: it neither leads nor reaches the
+/// leader.
 pub(super) const STATUS_MISDIRECTED: u16 = 421;
 
 impl Node {
-    /// Answers a request from this node's own door.
+    /// Answers a request received at this controller's own API endpoint.
     pub async fn handle_request(&self, op: Op, body: &[u8]) -> Reply {
-        // More at once than can be served in time is refused at once, but workers' reports, on
-        // which their leases hang, never wait behind users.
-        let (slots, why) =
+        // Requests beyond what can be served in time are refused at once. Workers' reports are not
+        // limited: their leases depend on them, so they never wait behind users.
+        let (slots, reason) =
             if op == Op::Show { (&self.query_slots, 1) } else { (&self.request_slots, 0) };
         let slot = (op != Op::Report).then(|| slots.try_acquire());
         if matches!(slot, Some(Err(_))) {
-            return self.refuse_over_limit(why);
+            return self.refuse_over_limit(reason);
         }
         if op == Op::Report {
             self.observe_worker_report(body);
@@ -33,12 +35,13 @@
         self.serve_or_forward(op, body, 2).await
     }
 
-    pub(super) fn refuse_over_limit(&self, why: usize) -> Reply {
-        self.refusal_counts[why].fetch_add(1, Ordering::Relaxed);
-        Reply::later(&format!("too many {}", REFUSAL_REASONS[why]), jittered_retry_s(2))
+    /// Counts a refusal and returns its reply; `reason` is an index into `REFUSAL_REASONS`.
+    pub(super) fn refuse_over_limit(&self, reason: usize) -> Reply {
+        self.refusal_counts[reason].fetch_add(1, Ordering::Relaxed);
+        Reply::later(&format!("too many {}", REFUSAL_REASONS[reason]), jittered_retry_s(2))
     }
 
-    /// Answers as leader, or passes the request on while it may be (`hops`).
+    /// Answers as leader, or forwards the request, which may be passed on at most `hops` more times.
     pub async fn serve_or_forward(&self, op: Op, body: &[u8], hops: u8) -> Reply {
         if self.can_serve_as_leader(op == Op::Report) {
             if op == Op::Report {
@@ -51,21 +54,22 @@
                 Op::Report => self.report(body).await,
             };
         }
-        // A leader of the version before would overlook what it has to wait for.
+        // A leader of the previous release would ignore the job's dependencies.
         if op == Op::Submit
-            && let Some(leader) = self.leader_index()
-            && !self.cluster.has_pipeline_support(leader)
-            && jobs::parse(body).is_ok_and(|job| job.depends_on.is_some_and(|a| !a.is_empty()))
+            && let Some(leader_index) = self.leader_index()
+            && !self.cluster.has_pipeline_support(leader_index)
+            && jobs::parse(body).is_ok_and(|job| job.depends_on.is_some_and(|d| !d.is_empty()))
         {
             return Reply::later("the upgrade is under way", 2);
         }
-        let limit = if op == Op::Show { Duration::from_millis(800) } else { FORWARD };
-        let limit = if op == Op::Report { REPORT_FORWARD } else { limit };
+        let timeout = if op == Op::Show { Duration::from_millis(800) } else { FORWARD_TIMEOUT };
+        let timeout = if op == Op::Report { REPORT_FORWARD_TIMEOUT } else { timeout };
         if hops > 0
-            && let Some(leader) = self.leader_index().filter(|l| *l != self.cluster.own_index)
-            // What was passed on once goes straight to the leader, so that it can't go in circles.
+            && let Some(leader_index) = self.leader_index().filter(|ix| *ix != self.cluster.own_index)
+            // A request that was forwarded before goes only straight to the leader, so that it
+            // cannot loop.
             && let Some(reply) =
-                self.cluster.forward(leader, (self.now(), hops < 2), op, body, limit).await
+                self.cluster.forward(leader_index, (self.now(), hops < 2), op, body, timeout).await
             && (reply.status != 503 || op != Op::Show)
         {
             return reply;
