--- a/crates/controller/src/node/lookups.rs
+++ b/crates/controller/src/node/lookups.rs
@@ -1,4 +1,5 @@
-//! What the records say of jobs that are not in memory; paced, so that users never use the state service up.
+//! Lookups in the records of jobs that are not in memory. They are rate limited, so that users
+//! cannot use up the state service's capacity.
 
 use crate::node::Node;
 use crate::reply::Reply;
@@ -7,16 +8,19 @@
 use copperhaven_core::records::{FinalRecord, JobRecord};
 use std::collections::HashSet;
 
-/// Waiting jobs that are looked at, without a leader, for one that somebody asks about.
-const WALK: usize = 6;
+/// Jobs whose records are read, without a leader, to find out whether a dependency of a job that a
+/// user asks about is cancelled.
+const MAX_DEPENDENCIES_READ: usize = 6;
 
 impl Node {
-    /// May a question about this job cost the state service `n` requests now? Who asked in vain goes first.
+    /// Returns whether a query about this job may make `n` requests to the state service now, and if
+    /// so takes them from the rate limit. Queries that were refused before go first.
     pub(super) fn try_reserve_lookups(&self, uid: &str, n: usize) -> bool {
         self.lookups.lock().expect("lock").try_acquire(uid, n, self.now())
     }
 
-    /// Looks an id up that is not in memory: final jobs leave it. Err: no answer.
+    /// Looks up the final record of a job that is not in memory: finished jobs are evicted from it.
+    /// Returns an `Err` with the reply if the rate limit or the state service allows no answer.
     pub(super) async fn look_up_final(
         &self,
         term: u64,
@@ -31,7 +35,7 @@
         self.read_final(term, uid).await
     }
 
-    /// The same, once it may cost a look-up.
+    /// Reads the final record as `look_up_final` does, without taking a request from the rate limit.
     pub(super) async fn read_final(
         &self,
         term: u64,
@@ -39,8 +43,8 @@
     ) -> Result<Option<FinalRecord>, Reply> {
         match self.store.get::<FinalRecord>(&format!("f/{uid}")).await {
             Ok(Some((record, _))) => {
-                self.with_leader_state(term, |c, _| {
-                    c.final_records.insert(uid.into(), record.clone())
+                self.with_leader_state(term, |leader, _| {
+                    leader.final_records.insert(uid.into(), record.clone())
                 });
                 Ok(Some(record))
             }
@@ -53,7 +57,8 @@
         }
     }
 
-    /// What the records say of a job that is not in memory. Err: no certain answer now.
+    /// Looks up the state of a job that is not in memory. Returns an `Err` with the reply if there is
+    /// no certain answer now.
     pub(super) async fn look_up_job(&self, term: u64, uid: &str) -> Result<DependencyState, Reply> {
         match self.look_up_final(term, uid).await? {
             Some(f) if f.done => return Ok(DependencyState::Done),
@@ -63,7 +68,7 @@
         if !self.try_reserve_lookups(uid, 1) {
             return Err(self.refuse_over_limit(2));
         }
-        // Accepted under other settings it would be on record without being in memory.
+        // A job accepted under other settings may be on record without being in memory.
         match self.store.get::<serde::de::IgnoredAny>(&format!("j/{uid}")).await {
             Ok(Some(_)) => Ok(DependencyState::Open),
             Ok(None) if self.can_serve_as_leader(false) => Ok(DependencyState::NeverAccepted),
@@ -71,31 +76,32 @@
         }
     }
 
-    /// Without a leader: is any of these jobs cancelled, or any that they wait for? A leader may
-    /// have told so of those that need it. None: that can't be told with a few look-ups.
-    pub(super) async fn any_cancelled(&self, on: Vec<String>) -> Option<bool> {
-        let mut asked = HashSet::new();
-        let mut next = on;
-        while let Some(uid) = next.pop() {
-            if !asked.insert(uid.clone()) {
+    /// Returns, without a leader, whether any of these jobs or of their own dependencies is
+    /// cancelled: a leader may have reported the dependent jobs as cancelled too. `None`: a few
+    /// lookups cannot decide it.
+    pub(super) async fn any_cancelled(&self, uids: Vec<String>) -> Option<bool> {
+        let mut visited = HashSet::new();
+        let mut pending = uids;
+        while let Some(uid) = pending.pop() {
+            if !visited.insert(uid.clone()) {
                 continue;
             }
-            if asked.len() > WALK
+            if visited.len() > MAX_DEPENDENCIES_READ
                 || !self.lookups.lock().expect("lock").try_acquire_more(2, self.now())
             {
                 return None;
             }
-            // The open record first, as above.
+            // The open record is read first, as in `read_both`.
             let open = self.store.get::<JobRecord>(&format!("j/{uid}")).await.ok()?;
-            let last = self.store.get::<FinalRecord>(&format!("f/{uid}")).await.ok()?;
-            match (last, open) {
-                (Some((last, _)), _) if !last.done => return Some(true),
+            let final_record = self.store.get::<FinalRecord>(&format!("f/{uid}")).await.ok()?;
+            match (final_record, open) {
+                (Some((record, _)), _) if !record.done => return Some(true),
                 (None, Some((record, _))) if record.cancelled => return Some(true),
-                (None, Some((JobRecord { dependency_wait: Some(waits), .. }, _))) => {
-                    if waits.parts > 0 {
+                (None, Some((JobRecord { dependency_wait: Some(wait), .. }, _))) => {
+                    if wait.parts > 0 {
                         return None;
                     }
-                    next.extend(waits.dependencies);
+                    pending.extend(wait.dependencies);
                 }
                 _ => {}
             }
