--- a/crates/controller/src/node/connectivity.rs
+++ b/crates/controller/src/node/connectivity.rs
@@ -1,5 +1,6 @@
-//! What this controller reaches, measured, and what the others tell of it. The decisions are in
-//! `copperhaven-reach`; here they meet reports, probes and pongs.
+//! Measures which services, workers and peers this controller reaches, and exchanges that with its
+//! peers. The decisions are made in `copperhaven-reach`; this module feeds them with the outcomes of
+//! reports, probes and pongs.
 
 use crate::node::Node;
 use copperhaven_reach::Member;
@@ -9,92 +10,98 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
 
-/// So many workers of each zone are remembered, to ask them when none is heard.
-const KNOWN: usize = 6;
+/// Workers remembered per zone, to be probed when no worker reports.
+const MAX_WORKERS_PER_ZONE: usize = 6;
 
-/// A worker that was not heard of for so long is not asked any more: records are read instead.
-const FORGET_MS: u64 = 30_000;
+/// A worker that has not reported for this long is no longer probed; workers are read from the
+/// records instead.
+const WORKER_TTL_MS: u64 = 30_000;
 
-/// Reports are looked at this far apart for whom they come from.
-const LOOK_MS: u64 = 250;
+/// Minimum interval between reports that are decoded to find out where they come from.
+const REPORT_CHECK_INTERVAL_MS: u64 = 250;
 
-/// A controller that has just started may not have been heard of yet.
-const STARTED_MS: u64 = 5_000;
+/// How long after its start a controller may not be known to its peers yet.
+const STARTUP_MS: u64 = 5_000;
 
+/// What this controller has measured itself and heard from its peers about connectivity.
 #[derive(Default)]
-pub struct Reached {
-    own: LocalConnectivity,
-    known: PeerConnectivity,
-    standing: Candidacy,
+pub struct ConnectivityState {
+    local: LocalConnectivity,
+    peers: PeerConnectivity,
+    candidacy: Candidacy,
+    /// Number of each zone name, in order of appearance.
     zones: BTreeMap<String, u32>,
-    /// Addresses of workers by zone, and when each was last heard of; the last heard last.
+    /// Addresses of workers by zone, with the time of the last report; the next to be probed last.
     workers: BTreeMap<u32, VecDeque<(String, u64)>>,
-    looked: u64,
-    /// What was last told in the log.
-    told: Option<Connectivity>,
-    /// Peers whose nonsense was told in the log.
-    nonsense: u16,
+    /// When a report was last decoded to find out where it comes from.
+    last_report_check_at: u64,
+    /// The connectivity that was last logged.
+    logged: Option<Connectivity>,
+    /// Bit mask of peers whose invalid messages were logged.
+    logged_invalid_peers: u16,
 }
 
-impl Reached {
-    fn zone(&mut self, name: &str) -> u32 {
-        let next = self.zones.len() as u32;
-        *self.zones.entry(name.into()).or_insert(next)
+impl ConnectivityState {
+    fn zone_number(&mut self, name: &str) -> u32 {
+        let next_number = self.zones.len() as u32;
+        *self.zones.entry(name.into()).or_insert(next_number)
     }
 
-    fn remember(&mut self, zone: u32, addr: &str, now: u64) {
-        let list = self.workers.entry(zone).or_default();
-        list.retain(|(a, _)| a != addr);
-        list.push_back((addr.into(), now));
-        if list.len() > KNOWN {
-            list.pop_front();
+    fn add_worker(&mut self, zone: u32, addr: &str, now: u64) {
+        let workers = self.workers.entry(zone).or_default();
+        workers.retain(|(a, _)| a != addr);
+        workers.push_back((addr.into(), now));
+        if workers.len() > MAX_WORKERS_PER_ZONE {
+            workers.pop_front();
         }
     }
 }
 
-/// What of a report tells whom it comes from.
+/// The fields of a report that identify its worker.
 #[derive(serde::Deserialize)]
-struct From {
+struct ReportOrigin {
     addr: String,
-    yard: String,
+    #[serde(rename = "yard")]
+    zone: String,
 }
 
-/// A worker to be asked, and its zone.
+/// A worker to be probed: the number of its zone, and its address.
 pub type Target = (u32, String);
 
 impl Node {
-    /// A worker reported at this node's own door: its zone is reached.
+    /// Records that a worker reported at this controller's own endpoint, so its zone is reachable. At
+    /// most one report in 250 ms is decoded for this.
     pub(super) fn observe_worker_report(&self, body: &[u8]) {
         let now = self.now();
-        let mut r = self.connectivity.lock().expect("lock");
-        if now < r.looked + LOOK_MS {
+        let mut state = self.connectivity.lock().expect("lock");
+        if now < state.last_report_check_at + REPORT_CHECK_INTERVAL_MS {
             return;
         }
-        let Ok(from) = rmp_serde::from_slice::<From>(body) else { return };
-        if !self.settings.deployment.zones.contains(&from.yard) {
+        let Ok(origin) = rmp_serde::from_slice::<ReportOrigin>(body) else { return };
+        if !self.settings.deployment.zones.contains(&origin.zone) {
             return;
         }
-        r.looked = now;
-        let zone = r.zone(&from.yard);
-        r.own.zone_link_mut(zone).record_answer(now, now);
-        r.remember(zone, &from.addr, now);
+        state.last_report_check_at = now;
+        let zone = state.zone_number(&origin.zone);
+        state.local.zone_link_mut(zone).record_answer(now, now);
+        state.add_worker(zone, &origin.addr, now);
     }
 
-    /// The state service answered a request sent then, or did not.
+    /// Records whether the state service answered a request that was sent at `sent`.
     pub fn record_state_service_probe(&self, sent: u64, answered: bool) {
-        let mut r = self.connectivity.lock().expect("lock");
+        let mut state = self.connectivity.lock().expect("lock");
         if answered {
-            r.own.state_service.record_answer(sent, self.now());
+            state.local.state_service.record_answer(sent, self.now());
         } else {
-            r.own.state_service.record_failure(sent);
+            state.local.state_service.record_failure(sent);
         }
     }
 
-    /// A worker was asked, and answered or did not.
+    /// Records whether a worker of `zone` answered a probe that was sent at `sent`.
     pub fn record_worker_probe(&self, zone: u32, sent: u64, answered: bool) {
         let now = self.now();
-        let mut r = self.connectivity.lock().expect("lock");
-        let link = r.own.zone_link_mut(zone);
+        let mut state = self.connectivity.lock().expect("lock");
+        let link = state.local.zone_link_mut(zone);
         if answered {
             link.record_answer(sent, now);
         } else {
@@ -102,156 +109,169 @@
         }
     }
 
-    /// The workers to be asked now, one of each zone: none while any was heard for so long. `None`:
-    /// none is known at all.
+    /// The workers to be probed now, one of each zone; empty if any worker was heard within the last
+    /// `silence_ms`. `None`: no worker is known.
     pub fn probe_targets(&self, silence_ms: u64) -> Option<Vec<Target>> {
         let now = self.now();
-        let mut r = self.connectivity.lock().expect("lock");
-        if !r.own.is_silent(now, silence_ms) {
+        let mut state = self.connectivity.lock().expect("lock");
+        if !state.local.is_silent(now, silence_ms) {
             return Some(vec![]);
         }
-        // Who was not heard of for long may be gone, and would be asked in vain for ever.
-        r.workers.values_mut().for_each(|list| list.retain(|(_, at)| now < at + FORGET_MS));
-        r.workers.retain(|_, list| !list.is_empty());
-        if r.workers.is_empty() {
+        // Workers that have not reported for long may be gone; otherwise they would be probed in
+        // vain for ever.
+        state
+            .workers
+            .values_mut()
+            .for_each(|workers| workers.retain(|(_, at)| now < at + WORKER_TTL_MS));
+        state.workers.retain(|_, workers| !workers.is_empty());
+        if state.workers.is_empty() {
             return None;
         }
-        let mut out = vec![];
-        for (zone, list) in &mut r.workers {
-            // One after the other: the last heard may be gone.
-            if let Some((addr, at)) = list.pop_back() {
-                out.push((*zone, addr.clone()));
-                list.push_front((addr, at));
+        let mut targets = vec![];
+        for (zone, workers) in &mut state.workers {
+            // Workers take turns, since the one that reported last may be gone.
+            if let Some((addr, at)) = workers.pop_back() {
+                targets.push((*zone, addr.clone()));
+                workers.push_front((addr, at));
             }
         }
-        Some(out)
+        Some(targets)
     }
 
-    /// Workers that records tell of: address and zone. Zones without any have nobody to be reached.
-    pub fn add_known_workers<'a>(&self, all: impl Iterator<Item = (&'a str, &'a str)>) {
+    /// Adds workers from the records, as pairs of address and zone name. Zones without workers are
+    /// dropped: nothing in them can be reached.
+    pub fn add_known_workers<'a>(&self, workers: impl Iterator<Item = (&'a str, &'a str)>) {
         let now = self.now();
-        let mut r = self.connectivity.lock().expect("lock");
-        for (addr, zone) in all {
-            let zone = r.zone(zone);
-            r.remember(zone, addr, now);
+        let mut state = self.connectivity.lock().expect("lock");
+        for (addr, zone) in workers {
+            let zone = state.zone_number(zone);
+            state.add_worker(zone, addr, now);
         }
-        let Reached { own, workers, .. } = &mut *r;
-        own.retain_zones(|zone| workers.contains_key(&zone));
+        let ConnectivityState { local, workers, .. } = &mut *state;
+        local.retain_zones(|zone| workers.contains_key(&zone));
     }
 
-    /// What this node reaches, as it is told to others; changes are told in the log.
+    /// What this controller reaches, as it is reported to peers. Logs changes; for the log the share of
+    /// reachable zones counts in steps of 50 percent.
     pub fn own_connectivity(&self) -> Connectivity {
         let now = self.now();
         let peers = self.cluster.reachable_mask(now);
-        let mut r = self.connectivity.lock().expect("lock");
-        let facts = r.own.connectivity(peers, now);
-        let known = |f: &Connectivity| {
-            (f.state_service, f.workers_percent.map(|w| w.div_ceil(50)), f.peer_mask)
+        let mut state = self.connectivity.lock().expect("lock");
+        let connectivity = state.local.connectivity(peers, now);
+        let log_key = |c: &Connectivity| {
+            (c.state_service, c.workers_percent.map(|w| w.div_ceil(50)), c.peer_mask)
         };
-        if r.told.is_none_or(|told| known(&told) != known(&facts)) {
+        if state.logged.is_none_or(|logged| log_key(&logged) != log_key(&connectivity)) {
             let workers =
-                facts.workers_percent.map_or("unknown".into(), |w| format!("{w}% of zones"));
+                connectivity.workers_percent.map_or("unknown".into(), |w| format!("{w}% of zones"));
             let peers: Vec<&str> = (0..self.cluster.members.len())
-                .filter(|m| facts.can_hear(Member(*m)))
+                .filter(|m| connectivity.can_hear(Member(*m)))
                 .map(|m| self.cluster.members[m].as_str())
                 .collect();
             let peers = if peers.is_empty() { "none".into() } else { peers.join(", ") };
             tracing::info!(
-                "reaches: state service {:?}, workers {workers}, peers {peers}",
-                facts.state_service
+                "connectivity: state service {:?}, workers {workers}, peers {peers}",
+                connectivity.state_service
             );
-            r.told = Some(facts);
+            state.logged = Some(connectivity);
         }
-        facts
+        connectivity
     }
 
-    /// The body of a pong: what this node reaches, and what it knows of others.
+    /// Encodes the body of a pong: what this controller reaches, and what it knows of other members,
+    /// with its age.
     pub fn encode_connectivity(&self) -> Vec<u8> {
         let own = (Member(self.cluster.own_index), self.own_connectivity(), 0);
         let now = self.now();
-        let r = self.connectivity.lock().expect("lock");
-        let others = r.known.unexpired(now).filter(|(m, ..)| m.0 != self.cluster.own_index);
+        let state = self.connectivity.lock().expect("lock");
+        let others = state.peers.unexpired(now).filter(|(m, ..)| m.0 != self.cluster.own_index);
         codec::encode(std::iter::once(own).chain(others))
     }
 
-    /// A peer told what it reaches and knows. Nonsense is dropped, and told once.
+    /// Takes over what a peer reports of its own and other members' connectivity. An invalid message is
+    /// ignored, and logged once per peer.
     pub fn merge_peer_connectivity(&self, peer: usize, body: &[u8]) {
         let now = self.now();
-        let mut r = self.connectivity.lock().expect("lock");
+        let mut state = self.connectivity.lock().expect("lock");
         match codec::decode(body, self.cluster.members.len()) {
-            Ok(all) => {
-                for (member, facts, age) in
-                    all.into_iter().filter(|(m, ..)| m.0 != self.cluster.own_index)
+            Ok(reported) => {
+                for (member, connectivity, age_ms) in
+                    reported.into_iter().filter(|(m, ..)| m.0 != self.cluster.own_index)
                 {
-                    r.known.update(member, facts, age, now);
+                    state.peers.update(member, connectivity, age_ms, now);
                 }
             }
             Err(e) => {
                 let bit = 1u16 << (peer & 15);
-                if r.nonsense & bit == 0 {
-                    r.nonsense |= bit;
+                if state.logged_invalid_peers & bit == 0 {
+                    state.logged_invalid_peers |= bit;
                     let member = self.cluster.members.get(peer).map_or("?", |m| m);
-                    tracing::warn!("{member} tells what can't be what it reaches: {e}; left out");
+                    tracing::warn!("ignored an invalid connectivity message of {member}: {e}");
                 }
             }
         }
     }
 
     fn with_view<T>(&self, f: impl FnOnce(&mut Candidacy, &ElectionView) -> T) -> T {
-        let own = self.own_connectivity();
+        let local = self.own_connectivity();
         let now = self.now();
-        let mut r = self.connectivity.lock().expect("lock");
-        let Reached { known, standing, .. } = &mut *r;
-        let of = |m: Member| known.get(m, now);
-        let members = self.cluster.members.len();
+        let mut state = self.connectivity.lock().expect("lock");
+        let ConnectivityState { peers, candidacy, .. } = &mut *state;
+        let peer_connectivity = |m: Member| peers.get(m, now);
+        let member_count = self.cluster.members.len();
         f(
-            standing,
+            candidacy,
             &ElectionView {
                 self_member: Member(self.cluster.own_index),
-                local: own,
-                member_count: members,
-                peer_connectivity: &of,
+                local,
+                member_count,
+                peer_connectivity: &peer_connectivity,
             },
         )
     }
 
-    /// While nobody leads: how long to leave others the first try.
+    /// How long to wait, while there is no leader, before this controller campaigns, so that fitter
+    /// members go first. A controller that has just started and never led does not wait, unless it is
+    /// backing off after repeated restarts: its peers may not know it yet.
     pub fn election_delay_ms(&self) -> u64 {
         let now = self.now();
-        let wait = self.with_view(|s, view| s.election_delay_ms(view, now));
-        let behind = self.connectivity.lock().expect("lock").standing.is_in_restart_backoff(now);
-        let started = now < STARTED_MS && !self.has_led() && !behind;
-        if started { 0 } else { wait }
+        let delay_ms = self.with_view(|candidacy, view| candidacy.election_delay_ms(view, now));
+        let in_backoff =
+            self.connectivity.lock().expect("lock").candidacy.is_in_restart_backoff(now);
+        let just_started = now < STARTUP_MS && !self.has_led() && !in_backoff;
+        if just_started { 0 } else { delay_ms }
     }
 
     fn has_led(&self) -> bool {
         self.state.lock().expect("lock").lease_renewed_ms > 0
     }
 
-    /// It gave way, or handed over: others stand first for a while.
+    /// Records that this controller stepped down or handed over: others campaign first for a while.
     pub fn record_step_down(&self) {
         let now = self.now();
-        self.connectivity.lock().expect("lock").standing.record_step_down(now);
+        self.connectivity.lock().expect("lock").candidacy.record_step_down(now);
     }
 
-    /// It ended as leader again and again: others stand first for a moment.
+    /// Records that this process repeatedly ended as leader: others campaign first for a moment.
     pub fn record_repeated_end(&self) {
         let now = self.now();
-        self.connectivity.lock().expect("lock").standing.record_repeated_end(now);
+        self.connectivity.lock().expect("lock").candidacy.record_repeated_end(now);
     }
 
-    /// As leader since `elected`: the name of a controller to hand over to.
-    pub fn handover_target(&self, elected: u64) -> Option<&str> {
+    /// Name of a better connected controller to which this leader should hand over; `elected_at` is
+    /// when it was elected.
+    pub fn handover_target(&self, elected_at: u64) -> Option<&str> {
         let now = self.now();
-        let to = self.with_view(|s, view| s.handover_target(view, elected, now))?;
-        self.cluster.members.get(to.0).map(String::as_str)
+        let target =
+            self.with_view(|candidacy, view| candidacy.handover_target(view, elected_at, now))?;
+        self.cluster.members.get(target.0).map(String::as_str)
     }
 
-    /// Were workers asked, and did none answer?
+    /// Returns whether none of the probed zones' workers answered.
     pub fn is_cut_off_from_workers(&self) -> bool {
         self.own_connectivity().workers_percent == Some(0)
     }
 }
 
-/// For `Node`.
-pub type ConnectivityLock = Mutex<Reached>;
+/// The connectivity state as `Node` holds it.
+pub type ConnectivityLock = Mutex<ConnectivityState>;
