--- a/crates/controller/src/node/authority.rs
+++ b/crates/controller/src/node/authority.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Returns whether requests can be accepted: this controller leads with authority or reaches the
-    /// leader, or did so within the last 2.5 s.
+    /// Returns whether requests can be accepted: this controller leads with authority or reaches
+    /// the leader, or did so within the last 2.5 s.
     pub fn is_ready(&self) -> bool {
         self.is_ready_at(self.now())
     }
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Logs that an ability in use is unknown to this release, which therefore does not lead. Logged
-    /// once per ability in the life of the process.
+    /// Logs that an ability in use is unknown to this release, which therefore does not lead.
+    /// Logged once per ability in the life of the process.
     pub fn note_unknown_ability(&self, ability: &str) {
         let first = self
             .state
@@ -143,8 +143,8 @@
         self.state.lock().expect("lock").state_service_down_since_ms.is_some()
     }
 
-    /// Zones of the controllers that can be reached directly, and of this one. A zone occurs once per
-    /// controller.
+    /// Zones of the controllers that can be reached directly, and of this one. A zone occurs once
+    /// per controller.
     pub fn reachable_zones(&self, now: u64) -> Vec<&str> {
         let reachable = |m: &&Member| self.cluster.has_direct_link(&m.name, now);
         let others = self.settings.members.iter().filter(reachable).map(|m| m.zone.as_str());
--- a/crates/controller/src/node/connectivity.rs
+++ b/crates/controller/src/node/connectivity.rs
@@ -1,6 +1,6 @@
 //! Measures which services, workers and peers this controller reaches, and exchanges that with its
-//! peers. The decisions are made in `copperhaven-reach`; this module feeds them with the outcomes of
-//! reports, probes and pongs.
+//! peers. The decisions are made in `copperhaven-reach`; this module feeds them with the outcomes
+//! of reports, probes and pongs.
 
 use crate::node::Node;
 use copperhaven_reach::Member;
@@ -20,7 +20,8 @@
 /// Minimum interval between reports that are decoded to find out where they come from.
 const REPORT_CHECK_INTERVAL_MS: u64 = 250;
 
-/// How long after its start a controller may not be known to its peers yet.
+/// Until this time on its monotonic clock a controller counts as just started: its peers may not
+/// know it yet.
 const STARTUP_MS: u64 = 5_000;
 
 /// What this controller has measured itself and heard from its peers about connectivity.
@@ -69,8 +70,8 @@
 pub type Target = (u32, String);
 
 impl Node {
-    /// Records that a worker reported at this controller's own endpoint, so its zone is reachable. At
-    /// most one report in 250 ms is decoded for this.
+    /// Records that a worker reported at this controller's own endpoint, so its zone is reachable.
+    /// At most one report in 250 ms is decoded for this.
     pub(super) fn observe_worker_report(&self, body: &[u8]) {
         let now = self.now();
         let mut state = self.connectivity.lock().expect("lock");
@@ -109,8 +110,8 @@
         }
     }
 
-    /// The workers to be probed now, one of each zone; empty if any worker was heard within the last
-    /// `silence_ms`. `None`: no worker is known.
+    /// The workers to be probed now, one of each zone; empty if any worker reported or answered
+    /// within the last `silence_ms`. `None`: no worker is known.
     pub fn probe_targets(&self, silence_ms: u64) -> Option<Vec<Target>> {
         let now = self.now();
         let mut state = self.connectivity.lock().expect("lock");
@@ -151,8 +152,8 @@
         local.retain_zones(|zone| workers.contains_key(&zone));
     }
 
-    /// What this controller reaches, as it is reported to peers. Logs changes; for the log the share of
-    /// reachable zones counts in steps of 50 percent.
+    /// What this controller reaches, as it is reported to peers. Logs changes; for the log the
+    /// share of reachable zones counts in steps of 50 percent.
     pub fn own_connectivity(&self) -> Connectivity {
         let now = self.now();
         let peers = self.cluster.reachable_mask(now);
@@ -178,8 +179,8 @@
         connectivity
     }
 
-    /// Encodes the body of a pong: what this controller reaches, and what it knows of other members,
-    /// with its age.
+    /// Encodes the body of a pong: what this controller reaches, and what it knows of other
+    /// members, with its age.
     pub fn encode_connectivity(&self) -> Vec<u8> {
         let own = (Member(self.cluster.own_index), self.own_connectivity(), 0);
         let now = self.now();
@@ -188,8 +189,8 @@
         codec::encode(std::iter::once(own).chain(others))
     }
 
-    /// Takes over what a peer reports of its own and other members' connectivity. An invalid message is
-    /// ignored, and logged once per peer.
+    /// Takes over what a peer reports of its own and other members' connectivity. An invalid
+    /// message is ignored, and logged once per peer.
     pub fn merge_peer_connectivity(&self, peer: usize, body: &[u8]) {
         let now = self.now();
         let mut state = self.connectivity.lock().expect("lock");
@@ -231,8 +232,8 @@
     }
 
     /// How long to wait, while there is no leader, before this controller campaigns, so that fitter
-    /// members go first. A controller that has just started and never led does not wait, unless it is
-    /// backing off after repeated restarts: its peers may not know it yet.
+    /// members go first. A controller that has just started and never led does not wait, unless it
+    /// is backing off after repeated restarts: its peers may not know it yet.
     pub fn election_delay_ms(&self) -> u64 {
         let now = self.now();
         let delay_ms = self.with_view(|candidacy, view| candidacy.election_delay_ms(view, now));
@@ -267,7 +268,7 @@
         self.cluster.members.get(target.0).map(String::as_str)
     }
 
-    /// Returns whether none of the probed zones' workers answered.
+    /// Returns whether connectivity to workers was measured and no zone is reachable.
     pub fn is_cut_off_from_workers(&self) -> bool {
         self.own_connectivity().workers_percent == Some(0)
     }
--- a/crates/controller/src/node/direct_orders.rs
+++ b/crates/controller/src/node/direct_orders.rs
@@ -86,7 +86,7 @@
 
 /// Sends halts, a report request, or just the new term straight to a worker. The answer is no
 /// evidence of the worker's state; the request only makes sooner what its next report will show. A
-/// worker that answers 409 with a newer session is sent the request once more, for that session.
+/// worker that answers 409 with another session is sent the request once more, for that session.
 async fn send(node: &Node, term: u64, mut request: DirectRequest) {
     #[derive(serde::Serialize)]
     struct Body<'a> {
--- a/crates/controller/src/node/lookups.rs
+++ b/crates/controller/src/node/lookups.rs
@@ -13,8 +13,8 @@
 const MAX_DEPENDENCIES_READ: usize = 6;
 
 impl Node {
-    /// Returns whether a query about this job may make `n` requests to the state service now, and if
-    /// so takes them from the rate limit. Queries that were refused before go first.
+    /// Returns whether a query about this job may make `n` requests to the state service now, and
+    /// if so takes them from the rate limit. Queries that were refused before go first.
     pub(super) fn try_reserve_lookups(&self, uid: &str, n: usize) -> bool {
         self.lookups.lock().expect("lock").try_acquire(uid, n, self.now())
     }
@@ -35,7 +35,8 @@
         self.read_final(term, uid).await
     }
 
-    /// Reads the final record as `look_up_final` does, without taking a request from the rate limit.
+    /// Reads the final record as `look_up_final` does, without taking a request from the rate
+    /// limit.
     pub(super) async fn read_final(
         &self,
         term: u64,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Looks up the state of a job that is not in memory. Returns an `Err` with the reply if there is
-    /// no certain answer now.
+    /// Looks up the state of a job that is not in memory. Returns an `Err` with the reply if there
+    /// is no certain answer now.
     pub(super) async fn look_up_job(&self, term: u64, uid: &str) -> Result<DependencyState, Reply> {
         match self.look_up_final(term, uid).await? {
             Some(f) if f.done => return Ok(DependencyState::Done),
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -187,8 +187,8 @@
         Some(f(leader, has_authority))
     }
 
-    /// Waits until `f` returns a value for the leader state of `term`. Returns `None` after `limit`,
-    /// or once there is no leader state of that term.
+    /// Waits until `f` returns a value for the leader state of `term`. Returns `None` after
+    /// `limit`, or once there is no leader state of that term.
     pub(super) async fn wait_until<T>(
         &self,
         term: u64,
--- a/crates/controller/src/node/queries.rs
+++ b/crates/controller/src/node/queries.rs
@@ -13,8 +13,8 @@
 const RECORDING_WAIT: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Looks a job up in memory. `None`: it is not there. `Some(None)`: its status is uncertain while
-    /// a record of it is being written.
+    /// Looks a job up in memory. `None`: it is not there. `Some(None)`: its status is uncertain
+    /// while a record of it is being written.
     pub(super) fn job_in_memory(&self, term: u64, uid: &str) -> Option<Option<JobStatus>> {
         self.with_leader_state(term, |leader, _| {
             if leader.jobs.contains_name(uid) || leader.final_records.contains(uid) {
@@ -56,9 +56,9 @@
         }
         let final_record = self.read_final(term, uid).await;
         match final_record {
-            // A leader with authority has every accepted, unfinished job in memory, except those that
-            // it could not load, for example because the settings have changed: they are still on
-            // record.
+            // A leader with authority has every accepted, unfinished job in memory, except those
+            // that it could not load, for example because the settings have changed: they are still
+            // on record.
             Ok(None)
                 if self.can_serve_as_leader(false) && self.job_in_memory(term, uid).is_none() =>
             {
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Answers a query about a job while a record of it is being written, and it is not known whether
-    /// the write was applied: others may have read a newer state than the one in memory. Mostly the
-    /// outcome is known at once; otherwise the records are read.
+    /// Answers a query about a job while a record of it is being written, and it is not known
+    /// whether the write was applied: others may have read a newer state than the one in memory.
+    /// Mostly the outcome is known at once; otherwise the records are read.
     async fn show_recording(&self, term: u64, uid: &str) -> Reply {
         let status = self.wait_until(term, RECORDING_WAIT, |leader, has_authority| {
             leader.job_status(uid).filter(|_| has_authority)
@@ -95,8 +95,8 @@
         Reply::later("being recorded", 1)
     }
 
-    /// Answers a query from the state service when no leader answers: the records are never older than
-    /// any answer given before.
+    /// Answers a query from the state service when no leader answers: the records are never older
+    /// than any answer given before.
     pub(super) async fn show_from_store(&self, body: &[u8]) -> Reply {
         let Ok(uid) = std::str::from_utf8(body) else { return Reply::error(404, "unknown job") };
         if !jobs::is_valid_uid(uid) {
--- a/crates/controller/src/node/report_load.rs
+++ b/crates/controller/src/node/report_load.rs
@@ -8,7 +8,8 @@
     pub(super) window_start: u64,
     /// Reports in the current window: received here, answered as leader.
     pub(super) current_window: (u32, u32),
-    /// The same for the window before; zeros if it had ended a second or more before this one began.
+    /// The same for the window before; zeros if it had ended a second or more before this one
+    /// began.
     pub(super) previous_window: (u32, u32),
     /// When a worker was last redirected, in ms.
     pub(super) last_redirect_at: u64,
@@ -29,9 +30,9 @@
         }
     }
 
-    /// Returns whether a worker should be redirected to another controller. A leader that spends too
-    /// much of its CPU share on reports leaves their reception to the others and receives only half
-    /// of an equal share itself.
+    /// Returns whether a worker should be redirected to another controller. A leader that spends
+    /// too much of its CPU share on reports leaves their reception to the others and receives only
+    /// half of an equal share itself.
     pub(super) fn should_redirect(
         &mut self,
         member_count: usize,
--- a/crates/controller/src/node/reports.rs
+++ b/crates/controller/src/node/reports.rs
@@ -25,8 +25,8 @@
     /// (all controllers have just started, or the leader was lost), the report waits for one, as
     /// long as the worker still waits for the answer.
     pub(super) async fn receive_report(&self, body: &[u8]) -> Reply {
-        if let Some(foreman) = self.redirect_target() {
-            return Reply::new(421, &std::collections::BTreeMap::from([("foreman", foreman)]));
+        if let Some(target) = self.redirect_target() {
+            return Reply::new(421, &std::collections::BTreeMap::from([("foreman", target)]));
         }
         let deadline = Instant::now() + MAX_REPORT_HOLD;
         loop {
--- a/crates/controller/src/node/serve.rs
+++ b/crates/controller/src/node/serve.rs
@@ -9,8 +9,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a forwarded submission, cancellation or report waits for the leader's answer.
+/// How long a forwarded submission or cancellation waits for the leader's answer.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a forwarded report waits for the leader's answer.
 const REPORT_FORWARD_TIMEOUT: Duration = Duration::from_millis(1900);
 
 /// HTTP status for a request that this controller cannot answer: it neither leads nor reaches the
@@ -41,7 +42,8 @@
         Reply::later(&format!("too many {}", REFUSAL_REASONS[reason]), jittered_retry_s(2))
     }
 
-    /// Answers as leader, or forwards the request, which may be passed on at most `hops` more times.
+    /// Answers as leader, or forwards the request, which may be passed on at most `hops` more
+    /// times.
     pub async fn serve_or_forward(&self, op: Op, body: &[u8], hops: u8) -> Reply {
         if self.can_serve_as_leader(op == Op::Report) {
             if op == Op::Report {
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -125,7 +125,9 @@
                 }
             };
             if !leader.has_memory_for(spec.team, spec.tasks) {
-                leader.fairness_ledger.submission_refused(fairness_accounting::fairness_pair(&spec), Refusal::Memory);
+                leader
+                    .fairness_ledger
+                    .submission_refused(fairness_accounting::fairness_pair(&spec), Refusal::Memory);
                 return Err(Reply::later("more tasks than fit into memory", jittered_retry_s(15)));
             }
             // Machine types that the cloud does not have make no difference, and a long list of
@@ -137,7 +139,8 @@
             }
             // Dependencies are recorded apart from the job's own record, however many there are.
             let dependencies = job.depends_on.take().unwrap_or_default();
-            if leader.record_bytes_without_dependencies(&job) + 64 > leader.write_queue.value_limit {
+            if leader.record_bytes_without_dependencies(&job) + 64 > leader.write_queue.value_limit
+            {
                 return Err(Reply::error(400, "malformed: names too long to be recorded"));
             }
             let (open, cancelled) = match leader.check_dependencies(&dependencies, looked_up) {
@@ -153,7 +156,8 @@
                     return Err(Reply::error(422, &reason));
                 }
                 DependencyCheck::Service(other) => {
-                    let reason = format!("can never run: {other}, which it waits for, is a service");
+                    let reason =
+                        format!("can never run: {other}, which it waits for, is a service");
                     tracing::info!("refused {uid}: {reason}");
                     return Err(Reply::error(422, &reason));
                 }
@@ -164,8 +168,13 @@
                 Err(_) if cancelled => vec![0; leader.pool_count()],
                 Ok(routed) => routed,
                 Err(lowest_index) => {
-                    leader.fairness_ledger.submission_refused(fairness_accounting::fairness_pair(&spec), Refusal::Index);
-                    tracing::info!("refused {uid}: lowest index {lowest_index:.6} reaches the rejection cost");
+                    leader.fairness_ledger.submission_refused(
+                        fairness_accounting::fairness_pair(&spec),
+                        Refusal::Index,
+                    );
+                    tracing::info!(
+                        "refused {uid}: lowest index {lowest_index:.6} reaches the rejection cost"
+                    );
                     let reply = Reply::error(429, "its deadline cannot be met now");
                     return Err(Reply { retry_after: 10, ..reply });
                 }
@@ -182,7 +191,8 @@
                 spec.image_gb,
                 spec.deadline_s,
             );
-            let id = leader.add_submitted_job(spec, job, (open, cancelled), Self::unix_time_ms(), now);
+            let id =
+                leader.add_submitted_job(spec, job, (open, cancelled), Self::unix_time_ms(), now);
             if let Some(job) = leader.jobs.get_mut(&id)
                 && job.pending_dependencies.is_empty()
                 && job.is_open()
