--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -1,4 +1,4 @@
-//! Reading the records at a takeover, and how jobs ended that others wait for.
+//! Reads the records at a takeover, and the outcomes of finished jobs that other jobs depend on.
 
 use crate::leadership::{ms, stages};
 use crate::node::Node;
@@ -9,12 +9,14 @@
 use copperhaven_rollout::{PACKS, Stage};
 use tokio::time::sleep;
 
-/// Reads every record and puts the cell together. What machines may hold is a superset.
-pub(super) async fn load(node: &Node, term: u64, stamp: u64) -> Result<(), StoreError> {
-    let begun = node.now();
+/// Reads every record and rebuilds the leader state. The assignments of a machine on record are a
+/// superset of the tasks that may run there. `revision` is that of the leader key.
+pub(super) async fn load(node: &Node, term: u64, revision: u64) -> Result<(), StoreError> {
+    let started_at = node.now();
     let store = &node.store;
-    // Side by side: from the election on nobody but this leader changes them, and it does not yet.
-    let (jobs, done, machines, packs, rentals, links, service, provided, stages) = tokio::join!(
+    // The reads may run concurrently: after the election only this leader changes the records, and it
+    // does not do so before it has loaded them.
+    let (jobs, done, machines, packs, rentals, dependency_lists, service, provided, stages) = tokio::join!(
         store.list::<JobRecord>("j/"),
         store.list::<DoneTasksRecord>("d/"),
         store.list::<MachineRecord>("m/"),
@@ -25,83 +27,86 @@
         store.get::<ProvidedRecord>(PROVIDED_KEY),
         stages::read(node),
     );
-    let packed = stages?.0.stage(PACKS) == Stage::Written;
+    let packs_enabled = stages?.0.stage(PACKS) == Stage::Written;
     let (jobs, done, machines, packs) = (jobs?, done?, machines?, packs?);
-    let (rentals, links) = (rentals?, links?);
-    // No rule rests on what was served to whom: without it the order of service starts from what is
-    // open.
+    let (rentals, dependency_lists) = (rentals?, dependency_lists?);
+    // No invariant depends on the fairness ledger: without it the order of placement starts from the
+    // open jobs alone.
     let service = match service {
         Ok(list) => list.rows,
         Err(e) => {
-            tracing::warn!("what was served to whom is not known, so it starts anew: {e}");
+            tracing::warn!("cannot read the fairness ledger, starting with an empty one: {e}");
             vec![]
         }
     };
     let provided = match provided {
-        Ok(provided) => provided.map(|(p, _)| p.machines),
-        // Only what is kept up without work depends on it: none is.
+        Ok(provided) => provided.map(|(record, _)| record.machines),
+        // Only the number of machines retained without work depends on it: none are then.
         Err(e @ StoreError::Unreadable { .. }) => {
             node.note_unreadable(&e);
             Some(0)
         }
         Err(e) => return Err(e),
     };
-    let bad = [
+    let unreadable = [
         jobs.unreadable,
         done.unreadable,
         machines.unreadable,
         packs.unreadable,
         rentals.unreadable,
-        links.unreadable,
+        dependency_lists.unreadable,
     ]
     .concat();
-    let Some((names, flavors)) = node.names_and_machine_types() else {
+    let Some((names, machine_types)) = node.names_and_machine_types() else {
         return Err(StoreError::Malformed);
     };
-    let leader = Condition { path: LEADER_KEY.into(), revision: stamp };
+    let leader_condition = Condition { path: LEADER_KEY.into(), revision };
     let now = node.now();
-    let mut cell = LeaderState::new(node.settings.clone(), term, leader, now, names, flavors);
-    cell.recovery.set_started_at(begun);
-    let read = Records {
+    let mut leader =
+        LeaderState::new(node.settings.clone(), term, leader_condition, now, names, machine_types);
+    leader.recovery.set_started_at(started_at);
+    let records = Records {
         jobs: jobs.rows,
         done: done.rows,
         machines: machines.rows,
         packs: packs.rows,
-        packs_enabled: packed,
+        packs_enabled,
         rentals: rentals.rows,
-        dependency_lists: links.rows,
+        dependency_lists: dependency_lists.rows,
         service,
-        unreadable: bad,
+        unreadable,
     };
-    rebuild(&mut cell, read, now, Node::unix_time_ms());
-    cell.fleet.provided_machines = provided;
-    let (j, m) = (cell.jobs.len(), cell.machines.len());
-    let took = node.now() - begun;
-    tracing::info!("term {term} has {j} open jobs and {m} machines on record, read in {took} ms");
-    node.state.lock().expect("lock").cell = Some(cell);
+    rebuild(&mut leader, records, now, Node::unix_time_ms());
+    leader.fleet.provided_machines = provided;
+    let (jobs, machines) = (leader.jobs.len(), leader.machines.len());
+    let elapsed_ms = node.now() - started_at;
+    tracing::info!(
+        "term {term}: loaded {jobs} open jobs and {machines} machines from the records in {elapsed_ms} ms"
+    );
+    node.state.lock().expect("lock").cell = Some(leader);
     Ok(())
 }
 
-/// Reads how jobs ended that others still wait for, a few at a time: after a takeover no final
-/// record is in memory.
+/// Reads the final records of finished jobs that open jobs depend on, a few at a time: after a takeover
+/// none of them is in memory. Returns the reason for which the term ends.
 pub(super) async fn read_awaited_outcomes(node: &Node, term: u64) -> &'static str {
     loop {
-        let Some(some) =
-            node.with_leader_state(term, |c, _| c.dependencies.next_unread_outcomes(4))
+        let Some(unread) =
+            node.with_leader_state(term, |leader, _| leader.dependencies.next_unread_outcomes(4))
         else {
             return "superseded";
         };
-        let pause = if some.is_empty() { 200 } else { 20 };
-        let ends = some.iter().map(|uid| async move {
-            let seen = node.store.get::<FinalRecord>(&format!("f/{uid}")).await;
-            (uid, seen)
+        let pause_ms = if unread.is_empty() { 200 } else { 20 };
+        let reads = unread.iter().map(|uid| async move {
+            let stored = node.store.get::<FinalRecord>(&format!("f/{uid}")).await;
+            (uid, stored)
         });
-        for end in ends {
-            let (uid, seen) = end.await;
-            let unreadable = matches!(seen, Err(StoreError::Unreadable { .. }));
-            let seen = match seen {
-                Ok(seen) => seen,
-                // How it ended is not known: who waits for it goes on waiting, all others go on.
+        for read in reads {
+            let (uid, stored) = read.await;
+            let unreadable = matches!(stored, Err(StoreError::Unreadable { .. }));
+            let stored = match stored {
+                Ok(stored) => stored,
+                // The outcome is unknown: jobs that depend on this one stay blocked, all others go on.
                 Err(e) if unreadable => {
                     node.note_unreadable(&e);
                     None
@@ -109,39 +114,47 @@
                 Err(_) => break,
             };
             let now = node.now();
-            node.with_leader_state(term, |c, _| {
-                c.dependencies.resolve_outcome(uid, seen.map(|(last, _)| last.done));
+            node.with_leader_state(term, |leader, _| {
+                leader.dependencies.resolve_outcome(uid, stored.map(|(record, _)| record.done));
                 if unreadable {
-                    c.mark_outcome_unknown(uid);
+                    leader.mark_outcome_unknown(uid);
                 }
-                c.propagate_dependencies(now);
+                leader.propagate_dependencies(now);
             });
         }
-        sleep(ms(pause)).await;
+        sleep(ms(pause_ms)).await;
     }
 }
 
-/// Keeps the machine types for controllers that start while the cloud doesn't answer. Nothing
-/// depends on the outcome.
-pub(super) async fn record_machine_types(node: &Node, stamp: u64) {
-    let Some(berths) = node.state.lock().expect("lock").machine_types.clone() else { return };
-    let seen = match node.store.get::<MachineTypesRecord>(MACHINE_TYPES_KEY).await {
-        Ok(seen) => seen,
+/// Records the machine types for controllers that start while the cloud does not answer. Nothing
+/// depends on the outcome. `revision` is that of the leader key.
+pub(super) async fn record_machine_types(node: &Node, revision: u64) {
+    let Some(machine_types) = node.state.lock().expect("lock").machine_types.clone() else {
+        return;
+    };
+    let stored = match node.store.get::<MachineTypesRecord>(MACHINE_TYPES_KEY).await {
+        Ok(stored) => stored,
         Err(e) => return node.note_unreadable(&e),
     };
-    if seen.as_ref().is_some_and(|(r, _)| r.machine_types == berths) {
+    if stored.as_ref().is_some_and(|(record, _)| record.machine_types == machine_types) {
         return;
     }
     let when = [
-        Condition { path: LEADER_KEY.into(), revision: stamp },
-        Condition { path: MACHINE_TYPES_KEY.into(), revision: seen.map_or(0, |(_, s)| s) },
+        Condition { path: LEADER_KEY.into(), revision },
+        Condition {
+            path: MACHINE_TYPES_KEY.into(),
+            revision: stored.map_or(0, |(_, revision)| revision),
+        },
     ];
-    let v = Record::Flavors(MachineTypesRecord { machine_types: berths });
-    let (bytes, most) = (v.encoded_len(), node.settings.deployment.state.max_value_bytes());
-    if bytes > most {
-        tracing::warn!("the machine types take {bytes} bytes, a value {most}: not recorded");
+    let value = Record::Flavors(MachineTypesRecord { machine_types });
+    let (bytes, max_bytes) =
+        (value.encoded_len(), node.settings.deployment.state.max_value_bytes());
+    if bytes > max_bytes {
+        tracing::warn!(
+            "machine types not recorded: they take {bytes} bytes, a value may have {max_bytes}"
+        );
         return;
     }
-    let apply = [Change::Put { path: MACHINE_TYPES_KEY.into(), value: v, lease_id: None }];
+    let apply = [Change::Put { path: MACHINE_TYPES_KEY.into(), value, lease_id: None }];
     node.store.commit(&when, &apply).await;
 }
