--- a/crates/controller/src/leadership/probes.rs
+++ b/crates/controller/src/leadership/probes.rs
@@ -1,5 +1,5 @@
-//! Asking workers, where silence proves nothing: a controller that sent its workers away, or that they left,
-//! still has to know whether it could serve them.
+//! Probes of workers. Missing reports prove nothing about a controller that redirected its workers or
+//! that they left; it still has to know whether it could serve them.
 
 use crate::leadership::ms;
 use crate::node::Node;
@@ -7,43 +7,49 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// So long without a worker's report, and some are asked; so often; and so long they have to answer.
+/// Workers are probed after this time without a report from any of them.
 const SILENCE_MS: u64 = 1500;
-const PAUSE_MS: u64 = 700;
-const LIMIT_MS: u64 = 900;
+/// Pause between two rounds of probes.
+const PROBE_INTERVAL_MS: u64 = 700;
+/// Time that a worker has to answer a probe.
+const PROBE_TIMEOUT_MS: u64 = 900;
 
-/// So many records are read where no worker is known.
-const SOME: usize = 60;
+/// Machine records that are read where no worker is known; of packs a quarter as many.
+const MAX_RECORDS_READ: usize = 60;
 
-/// Keeps asking, one worker of each zone at a time, while none is heard. For ever.
+/// Probes one worker of each zone at a time while none reports. Never returns.
 pub async fn run(node: Arc<Node>) {
     loop {
-        sleep(ms(PAUSE_MS)).await;
+        sleep(ms(PROBE_INTERVAL_MS)).await;
         let targets = match node.probe_targets(SILENCE_MS) {
             Some(targets) => targets,
             None => {
-                // Only records can tell of any. With no machine there is nobody to ask.
-                let own = node.store.first_values::<MachineRecord>("m/", SOME).await;
-                let packs = node.store.first_values::<PackRecord>("p/", SOME / 4).await;
-                if let (Ok(own), Ok(packs)) = (own, packs) {
-                    let packed = packs.iter().flat_map(|p| p.machines.values());
-                    let all = own.iter().chain(packed);
-                    node.add_known_workers(all.map(|m| (m.addr.as_str(), m.zone.as_str())));
+                // No worker is known: the records may list some. Without machines there is none to probe.
+                let single = node.store.first_values::<MachineRecord>("m/", MAX_RECORDS_READ).await;
+                let packs = node.store.first_values::<PackRecord>("p/", MAX_RECORDS_READ / 4).await;
+                if let (Ok(single), Ok(packs)) = (single, packs) {
+                    let packed = packs.iter().flat_map(|pack| pack.machines.values());
+                    let machines = single.iter().chain(packed);
+                    node.add_known_workers(machines.map(|m| (m.addr.as_str(), m.zone.as_str())));
                 }
-                sleep(ms(PAUSE_MS)).await;
+                sleep(ms(PROBE_INTERVAL_MS)).await;
                 continue;
             }
         };
-        let asks = targets.into_iter().map(|(zone, addr)| {
+        let probes = targets.into_iter().map(|(zone, addr)| {
             let node = node.clone();
             tokio::spawn(async move {
                 let sent = node.now();
-                let answer = node.worker_client.get(&addr, "/inspect", ms(LIMIT_MS)).await;
-                node.record_worker_probe(zone, sent, answer.is_ok_and(|a| a.status == 200));
+                let answer = node.worker_client.get(&addr, "/inspect", ms(PROBE_TIMEOUT_MS)).await;
+                node.record_worker_probe(
+                    zone,
+                    sent,
+                    answer.is_ok_and(|response| response.status == 200),
+                );
             })
         });
-        for ask in asks.collect::<Vec<_>>() {
-            let _ = ask.await;
+        for probe in probes.collect::<Vec<_>>() {
+            let _ = probe.await;
         }
     }
 }
