--- a/crates/controller/src/leadership/commits.rs
+++ b/crates/controller/src/leadership/commits.rs
@@ -89,8 +89,8 @@
                 if keys.iter().any(|k| k == LEADER_KEY) {
                     return "the leader key belongs to another controller";
                 }
-                // An earlier transaction of unknown outcome was applied after all: adopt the current
-                // revisions and write again.
+                // An earlier transaction of unknown outcome was applied after all: adopt the
+                // current revisions and write again.
                 for key in keys {
                     if key.starts_with("f/") {
                         match node.store.get::<FinalRecord>(&key).await {
--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -14,8 +14,8 @@
 pub(super) async fn load(node: &Node, term: u64, revision: u64) -> Result<(), StoreError> {
     let started_at = node.now();
     let store = &node.store;
-    // The reads may run concurrently: after the election only this leader changes the records, and it
-    // does not do so before it has loaded them.
+    // The reads may run concurrently: after the election only this leader changes the records, and
+    // it does not do so before it has loaded them.
     let (jobs, done, machines, packs, rentals, dependency_lists, service, provided, stages) = tokio::join!(
         store.list::<JobRecord>("j/"),
         store.list::<DoneTasksRecord>("d/"),
@@ -30,8 +30,8 @@
     let packs_enabled = stages?.0.stage(PACKS) == Stage::Written;
     let (jobs, done, machines, packs) = (jobs?, done?, machines?, packs?);
     let (rentals, dependency_lists) = (rentals?, dependency_lists?);
-    // No invariant depends on the fairness ledger: without it the order of placement starts from the
-    // open jobs alone.
+    // No invariant depends on the fairness ledger: without it the order of placement starts from
+    // the open jobs alone.
     let service = match service {
         Ok(list) => list.rows,
         Err(e) => {
@@ -87,8 +87,8 @@
     Ok(())
 }
 
-/// Reads the final records of finished jobs that open jobs depend on, a few at a time: after a takeover
-/// none of them is in memory. Returns the reason for which the term ends.
+/// Reads the final records of finished jobs that open jobs depend on, a few at a time: after a
+/// takeover none of them is in memory. Returns the reason for which the term ends.
 pub(super) async fn read_awaited_outcomes(node: &Node, term: u64) -> &'static str {
     loop {
         let Some(unread) =
@@ -106,7 +106,8 @@
             let unreadable = matches!(stored, Err(StoreError::Unreadable { .. }));
             let stored = match stored {
                 Ok(stored) => stored,
-                // The outcome is unknown: jobs that depend on this one stay blocked, all others go on.
+                // The outcome is unknown: jobs that depend on this one stay blocked, all others go
+                // on.
                 Err(e) if unreadable => {
                     node.note_unreadable(&e);
                     None
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -37,8 +37,8 @@
     let mut first_look = true;
     loop {
         if node.state.lock().expect("lock").machine_types.is_none() {
-            // Workers' leases run while there is no leader. The machine types that an earlier leader
-            // recorded are available at once, even when the cloud does not answer; they are
+            // Workers' leases run while there is no leader. The machine types that an earlier
+            // leader recorded are available at once, even when the cloud does not answer; they are
             // refreshed in the background.
             let sent = node.now();
             let recorded = node.store.get::<MachineTypesRecord>(MACHINE_TYPES_KEY).await;
@@ -138,9 +138,9 @@
     requested_at_ms: u64,
 }
 
-/// Increments the term and writes the leader key in one transaction, on condition that the leader key
-/// is at `expected_revision` (0: it does not exist). When the outcome of the transaction is unknown,
-/// the leader key is read again to decide. `restarts` is recorded with the key.
+/// Increments the term and writes the leader key in one transaction, on condition that the leader
+/// key is at `expected_revision` (0: it does not exist). When the outcome of the transaction is
+/// unknown, the leader key is read again to decide. `restarts` is recorded with the key.
 async fn elect(node: &Node, expected_revision: u64, restarts: u64) -> Option<Election> {
     let ttl_ms = node.settings.tuning.leader_lease_ms;
     let (read, stages) = tokio::join!(node.store.get::<TermRecord>(TERM_KEY), stages::read(node));
@@ -237,8 +237,8 @@
     node.store.revoke_lease(lease).await;
 }
 
-/// Renews the leader's lease on a separate connection. Returns the reason for which the term ends: the
-/// lease is lost, the renewal grace has passed, or a newer term was seen.
+/// Renews the leader's lease on a separate connection. Returns the reason for which the term ends:
+/// the lease is lost, the renewal grace has passed, or a newer term was seen.
 async fn renew_lease(node: &Node, term: u64, lease: u64) -> &'static str {
     let ttl_ms = node.settings.tuning.leader_lease_ms;
     loop {
--- a/crates/controller/src/leadership/probes.rs
+++ b/crates/controller/src/leadership/probes.rs
@@ -1,5 +1,5 @@
-//! Probes of workers. Missing reports prove nothing about a controller that redirected its workers or
-//! that they left; it still has to know whether it could serve them.
+//! Probes of workers. Missing reports prove nothing about a controller that redirected its workers
+//! or that they left; it still has to know whether it could serve them.
 
 use crate::leadership::ms;
 use crate::node::Node;
@@ -24,7 +24,8 @@
         let targets = match node.probe_targets(SILENCE_MS) {
             Some(targets) => targets,
             None => {
-                // No worker is known: the records may list some. Without machines there is none to probe.
+                // No worker is known: the records may list some. Without machines there is none to
+                // probe.
                 let single = node.store.first_values::<MachineRecord>("m/", MAX_RECORDS_READ).await;
                 let packs = node.store.first_values::<PackRecord>("p/", MAX_RECORDS_READ / 4).await;
                 if let (Ok(single), Ok(packs)) = (single, packs) {
--- a/crates/controller/src/leadership/restart.rs
+++ b/crates/controller/src/leadership/restart.rs
@@ -1,5 +1,5 @@
-//! Handling of a leader key that a restarted process finds under its own name. The decision, and the
-//! proof that the predecessor has ended, are in `copperhaven_reach::restart`.
+//! Handling of a leader key that a restarted process finds under its own name. The decision, and
+//! the proof that the predecessor has ended, are in `copperhaven_reach::restart`.
 
 use crate::leadership::{elect, lead};
 use crate::node::Node;
@@ -30,8 +30,9 @@
     )
 }
 
-/// Handles a leader key under which nobody leads: that of this process's predecessor, which has ended, or
-/// one from a late transaction of its own. Campaigns at once in its place, or revokes its lease.
+/// Handles a leader key under which nobody leads: that of this process's predecessor, which has
+/// ended, or one from a late transaction of its own. Campaigns at once in its place, or revokes its
+/// lease.
 pub(super) async fn replace_predecessor(
     node: &Arc<Node>,
     decision: KeyDecision,
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -1,5 +1,6 @@
-//! Rollout of abilities: each process records its own at startup, and the leader moves an ability to
-//! its next stage once all members have recorded it. The decisions are made in `copperhaven-rollout`.
+//! Rollout of abilities: each process records its own at startup, and the leader moves an ability
+//! to its next stage once all members have recorded it. The decisions are made in
+//! `copperhaven-rollout`.
 
 use crate::cluster::frames::RELEASE;
 use crate::leadership::ms;
@@ -17,8 +18,8 @@
     Ok(node.store.get::<StagesRecord>(STAGES_KEY).await?.unwrap_or_default())
 }
 
-/// Records the abilities of this process, trying again until it succeeds. Only this record counts when
-/// the leader decides on a stage.
+/// Records the abilities of this process, trying again until it succeeds. Only this record counts
+/// when the leader decides on a stage.
 pub(super) async fn record_own_abilities(node: &Node) {
     let own = AbilitiesRecord::for_release(RELEASE);
     let path = format!("{ABILITIES_PREFIX}{}", node.settings.member);
@@ -50,8 +51,9 @@
     }
 }
 
-/// Moves an ability to its next stage, as leader, when all members have recorded it, or back when the
-/// settings disable it. `leader_revision` is that of the leader key. Returns when the term ends.
+/// Moves an ability to its next stage, as leader, when all members have recorded it, or back when
+/// the settings disable it. `leader_revision` is that of the leader key. Returns when the term
+/// ends.
 pub(super) async fn run(node: &Node, term: u64, leader_revision: u64) -> &'static str {
     let members: Vec<String> = node.settings.member_names().map(String::from).collect();
     let overrides = node.settings.ability_overrides();
@@ -63,7 +65,8 @@
             return "superseded";
         };
         let Ok((stages, stages_revision)) = read(node).await else { continue };
-        // The stage may differ from memory: the answer to a move was lost, or an earlier leader made it.
+        // The stage may differ from memory: the answer to a move was lost, or an earlier leader
+        // made it.
         let written = stages.stage(PACKS) == Stage::Written;
         let switched = node.with_leader_state(term, |leader, _| {
             let differs = leader.packs.is_enabled() != written;
--- a/crates/controller/src/leadership/sweep.rs
+++ b/crates/controller/src/leadership/sweep.rs
@@ -1,5 +1,5 @@
-//! Periodic consistency check of the leader's memory, in itself and against the records: an accepted
-//! job that no part of memory tracks would never run, and nobody would notice.
+//! Periodic consistency check of the leader's memory, in itself and against the records: an
+//! accepted job that no part of memory tracks would never run, and nobody would notice.
 
 use crate::leadership::ms;
 use crate::node::Node;
@@ -15,8 +15,8 @@
 /// Reason for which the term ends when a recorded job is untracked.
 pub(super) const UNTRACKED_JOB: &str = "a job on record is untracked, so the records are reloaded";
 
-/// Sweeps the leader's memory in intervals. Returns, which ends the term, when an open job on record is
-/// untracked: the next leader reads all records.
+/// Sweeps the leader's memory in intervals. Returns, which ends the term, when an open job on
+/// record is untracked: the next leader reads all records.
 pub(super) async fn run(node: &Node, term: u64) -> &'static str {
     let mut last_key: Option<String> = None;
     loop {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns whether the job is still open on record and untracked when checked by itself: it may have
-/// finished or been accepted in between.
+/// Returns whether the job is still open on record and untracked when checked by itself: it may
+/// have finished or been accepted in between.
 async fn is_untracked(node: &Node, term: u64, uid: &str) -> bool {
     let recorded = node.store.get::<JobRecord>(&format!("j/{uid}")).await;
     let untracked = node.with_leader_state(term, |leader, has_authority| {
--- a/crates/controller/src/leadership/tests.rs
+++ b/crates/controller/src/leadership/tests.rs
@@ -1,4 +1,4 @@
-//! What a controller does about records that can't be read, against a stand-in for the state service.
+//! Tests of elections, takeovers and queries with unreadable records, against a fake state service.
 
 use super::load::load;
 use super::*;
@@ -12,18 +12,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Answers look-ups and lists from a map, grants leases, and notes every request.
+/// Answers reads and listings from a map, grants leases, and logs every request.
 #[derive(Default)]
-struct StandIn {
+struct FakeStateService {
     records: BTreeMap<String, Value>,
-    asked: Mutex<Vec<String>>,
+    /// Method and path of each request.
+    requests: Mutex<Vec<String>>,
 }
 
-impl StandIn {
+impl FakeStateService {
     fn answer(&self, request: &str) -> (u16, Value) {
         let mut words = request.split(' ');
         let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        self.asked.lock().expect("lock").push(format!("{method} {path}"));
+        self.requests.lock().expect("lock").push(format!("{method} {path}"));
         if let Some(key) = path.strip_prefix("/store/") {
             return match self.records.get(key) {
                 Some(v) => (200, json!({"path": key, "v": v, "stamp": 5, "charter": null})),
@@ -44,18 +45,19 @@
         }
     }
 
-    /// A node whose state service this is; served as long as the returned task lives.
+    /// Starts serving on a local port and returns a node that uses this service. It is served until
+    /// the runtime ends.
     async fn node(self: Arc<Self>) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut settings = sample_settings();
         settings.endpoints.state = listener.local_addr().expect("bound").to_string();
         tokio::spawn(async move {
             while let Ok((mut io, _)) = listener.accept().await {
-                let this = self.clone();
+                let service = self.clone();
                 tokio::spawn(async move {
                     let mut buffer = vec![0; 64 << 10];
                     while let Ok(n @ 1..) = io.read(&mut buffer).await {
-                        let (status, body) = this.answer(&String::from_utf8_lossy(&buffer[..n]));
+                        let (status, body) = service.answer(&String::from_utf8_lossy(&buffer[..n]));
                         let body = encode(&body);
                         let head = format!(
                             "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n",
@@ -80,46 +82,52 @@
     runtime.expect("runtime").block_on(f)
 }
 
-fn stand_in(records: &[(&str, Value)]) -> Arc<StandIn> {
+fn fake_state_service(records: &[(&str, Value)]) -> Arc<FakeStateService> {
     let records = records.iter().map(|(key, v)| (key.to_string(), v.clone())).collect();
-    Arc::new(StandIn { records, ..StandIn::default() })
+    Arc::new(FakeStateService { records, ..FakeStateService::default() })
 }
 
 #[test]
-fn without_a_readable_term_nobody_leads() {
-    // (what stands under the key, the term won)
+fn unreadable_term_record_prevents_election() {
+    // (value of the term record, term won)
     let cases = [
         (json!({"term": 7}), Some(8)),
         (json!({"term": "x"}), None),
         (json!([]), None),
         (json!(null), None),
     ];
-    for (v, won) in cases {
+    for (value, expected_term) in cases {
         run(async {
-            let service = stand_in(&[(TERM_KEY, v.clone())]);
+            let service = fake_state_service(&[(TERM_KEY, value.clone())]);
             let node = service.clone().node().await;
-            assert_eq!(elect(&node, 0, 0).await.map(|won| won.term), won, "{v}");
-            let named = node.state.lock().expect("lock").unreadable_keys.contains(TERM_KEY);
-            assert_eq!(named, won.is_none(), "{v}");
-            let wrote = service.asked.lock().expect("lock").iter().any(|a| a == "POST /commit");
-            assert_eq!(wrote, won.is_some(), "{v}: nothing is written without it");
-            // The service answers: it is not taken for out of reach.
+            assert_eq!(elect(&node, 0, 0).await.map(|e| e.term), expected_term, "{value}");
+            let noted = node.state.lock().expect("lock").unreadable_keys.contains(TERM_KEY);
+            assert_eq!(noted, expected_term.is_none(), "{value}");
+            let wrote = service.requests.lock().expect("lock").iter().any(|r| r == "POST /commit");
+            assert_eq!(
+                wrote,
+                expected_term.is_some(),
+                "{value}: written only with a readable term"
+            );
+            // An unreadable record is an answer: the service does not count as unreachable.
             assert!(node.state.lock().expect("lock").state_service_down_since_ms.is_none());
         });
     }
 }
 
 #[test]
-fn who_does_not_know_what_is_in_use_does_not_lead_and_who_knows_no_stages_can_t() {
-    // As the release in production reads the term, and those before stages.
+fn releases_that_do_not_know_an_ability_in_use_cannot_lead() {
+    // A release that does not know an ability in use must not lead. Releases that know no stages
+    // are kept from leading by a term record that they cannot read: the release in production and
+    // those before stages read the term like this.
     #[derive(serde::Deserialize)]
-    struct Before {
-        #[allow(dead_code, reason = "whether it is there is all")]
+    struct TermBeforeStages {
+        #[allow(dead_code, reason = "only its presence is checked")]
         term: u64,
     }
     let packs = |stage| json!({"born": true, "stages": {"packs": {"stage": stage, "term": 3}}});
     let other = json!({"stages": {"shards": {"stage": 1, "term": 3}}});
-    // (stages, term on record, term won, can an older release read what is written)
+    // (stages, term on record, term won, whether an older release can read the written term)
     let cases = [
         (json!(null), json!({"term": 7}), None, true),
         (packs(0), json!({"term": 7}), Some(8), true),
@@ -128,30 +136,36 @@
         (packs(9), json!({"staged": 7}), None, false),
         (other, json!({"staged": 7}), None, false),
     ];
-    for (stages, term, won, readable) in cases {
+    for (stages, term, expected_term, readable) in cases {
         run(async {
-            let service = stand_in(&[(STAGES_KEY, stages.clone()), (TERM_KEY, term.clone())]);
+            let service =
+                fake_state_service(&[(STAGES_KEY, stages.clone()), (TERM_KEY, term.clone())]);
             let node = service.clone().node().await;
-            assert_eq!(elect(&node, 0, 0).await.map(|won| won.term), won, "{stages}");
-            let wrote = service.asked.lock().expect("lock").iter().any(|a| a == "POST /commit");
-            assert_eq!(wrote, won.is_some(), "{stages}");
-            if won.is_some() {
+            assert_eq!(elect(&node, 0, 0).await.map(|e| e.term), expected_term, "{stages}");
+            let wrote = service.requests.lock().expect("lock").iter().any(|r| r == "POST /commit");
+            assert_eq!(wrote, expected_term.is_some(), "{stages}");
+            if expected_term.is_some() {
                 let record: StagesRecord = serde_json::from_value(stages.clone()).expect("stages");
                 let written = encode(&Record::term(8, &record));
-                assert_eq!(rmp_serde::from_slice::<Before>(&written).is_ok(), readable, "{stages}");
-                let ours = rmp_serde::from_slice::<TermRecord>(&written).expect("this release can");
-                assert_eq!(ours.term, 8);
+                assert_eq!(
+                    rmp_serde::from_slice::<TermBeforeStages>(&written).is_ok(),
+                    readable,
+                    "{stages}"
+                );
+                let current =
+                    rmp_serde::from_slice::<TermRecord>(&written).expect("this release reads it");
+                assert_eq!(current.term, 8);
             }
         });
     }
 }
 
 #[test]
-fn a_takeover_reads_all_that_can_be_read_and_names_the_rest() {
+fn takeover_loads_readable_records_and_notes_unreadable_ones() {
     run(async {
-        let good = serde_json::to_value(job_record("wk-1")).expect("JSON");
-        let service = stand_in(&[
-            ("j/wk-1", good),
+        let valid_job = serde_json::to_value(job_record("wk-1")).expect("JSON");
+        let service = fake_state_service(&[
+            ("j/wk-1", valid_job),
             ("j/wk-2", json!({"job": 1})),
             ("d/wk-1/0", json!({"r": "none"})),
             ("m/n-1", json!("gone")),
@@ -160,32 +174,38 @@
             (PROVIDED_KEY, json!({"machines": -1})),
         ]);
         let node = service.node().await;
-        load(&node, 1, 5).await.expect("it leads all the same");
+        load(&node, 1, 5).await.expect("loads despite unreadable records");
         let state = node.state.lock().expect("lock");
-        let cell = state.cell.as_ref().expect("a cell");
-        // Without machine types no job can be told to fit: both are set aside, each for its reason.
+        let leader = state.cell.as_ref().expect("a leader state");
+        // Without machine types no job is known to fit a machine: both jobs are unreadable, each
+        // for its own reason.
         assert!(
-            cell.unreadable.job_reason("wk-1").is_some_and(|why| why.contains("fits no allowed"))
+            leader
+                .unreadable
+                .job_reason("wk-1")
+                .is_some_and(|reason| reason.contains("fits no allowed"))
         );
         assert!(
-            cell.unreadable
+            leader
+                .unreadable
                 .job_reason("wk-2")
-                .is_some_and(|why| why.contains("j/wk-2 can't be read"))
+                .is_some_and(|reason| reason.contains("j/wk-2 can't be read"))
         );
-        assert!(cell.unreadable.has_machine("n-1"));
+        assert!(leader.unreadable.has_machine("n-1"));
         for path in ["d/wk-1/0", "r/r-1-1", "a/wk-3/0", "j/wk-2"] {
-            assert!(cell.unreadable.is_write_protected(path), "{path}");
+            assert!(leader.unreadable.is_write_protected(path), "{path}");
         }
-        assert_eq!(cell.fleet.provided_machines, Some(0), "nothing is kept up without work");
+        assert_eq!(leader.fleet.provided_machines, Some(0), "no machine is retained without work");
         assert!(state.unreadable_keys.contains(PROVIDED_KEY));
     });
 }
 
 #[test]
-fn a_question_about_what_can_t_be_read_is_not_answered_with_404() {
+fn query_for_an_unreadable_job_is_not_answered_with_404() {
     run(async {
-        // Known, whatever else: a user must not go unanswered until somebody mends it. But nothing is told that may not
-        // be so: it may have been called cancelled with another, or be over, one way or the other.
+        // A job whose record is unreadable is still known, and a user must get an answer before the
+        // record is fixed. But no status may be reported that may be wrong: the job may have been
+        // reported as cancelled along with another one, or may have finished with either outcome.
         let rows = [
             ("j/wk-2", json!(3), 200, "queued"),
             ("j/wk-2", json!({"job": 1, "cancelled": false}), 200, "queued"),
@@ -193,19 +213,19 @@
             ("j/wk-2", json!({"job": 1, "waits": {"on": ["wk-1"]}}), 503, ""),
             ("f/wk-2", json!(3), 503, ""),
         ];
-        for (key, v, status, told) in rows {
-            let service = stand_in(&[(key, v)]);
+        for (key, value, status, reported) in rows {
+            let service = fake_state_service(&[(key, value)]);
             let node = service.node().await;
-            let got = node.store.get::<FinalRecord>("f/wk-2").await;
-            assert_eq!(matches!(got, Err(StoreError::Unreadable { .. })), key == "f/wk-2");
+            let stored = node.store.get::<FinalRecord>("f/wk-2").await;
+            assert_eq!(matches!(stored, Err(StoreError::Unreadable { .. })), key == "f/wk-2");
             let reply = node.handle_request(crate::cluster::frames::Op::Show, b"wk-2").await;
-            assert_eq!(reply.status, status, "{key} {told}");
+            assert_eq!(reply.status, status, "{key} {reported}");
             if status == 200 {
-                let shown: copperhaven_wire::jobs::JobStatus =
+                let job: copperhaven_wire::jobs::JobStatus =
                     rmp_serde::from_slice(&reply.body).expect("a job");
-                assert_eq!(shown.status, told);
+                assert_eq!(job.status, reported);
             }
-            // One that is nowhere on record still is unknown.
+            // A job without any record is unknown.
             let reply = node.handle_request(crate::cluster::frames::Op::Show, b"wk-3").await;
             assert_eq!(reply.status, 404);
         }
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -1,4 +1,5 @@
-//! The leader's periodic tick: lease expiry, placement, health checks, and direct orders to workers.
+//! The leader's periodic tick: lease expiry, placement, health checks, and direct orders to
+//! workers.
 
 use crate::leadership::ms;
 use crate::node::Node;
@@ -7,9 +8,9 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// Time after which a leader steps down that has heard from neither a peer nor a machine. Peers send
-/// a pong twice a second; machines report every `report_ms` give or take a quarter, after a takeover
-/// all of them at the same time.
+/// Time after which a leader steps down that has heard from neither a peer nor a machine. Peers
+/// send a pong twice a second; machines report every `report_ms` give or take a quarter, after a
+/// takeover all of them at the same time.
 fn isolation_timeout_ms(report_ms: u64) -> u64 {
     (report_ms * 5 / 4 + 1000).max(2500)
 }
@@ -39,8 +40,8 @@
 /// Ticks between two log lines on the fairness accounting.
 const FAIRNESS_LOG_TICKS: u64 = 600;
 
-/// Runs the periodic work of the leader: expires leases, ends backoffs, places tasks and sends orders.
-/// Returns the reason for which the term ends.
+/// Runs the periodic work of the leader: expires leases, ends backoffs, places tasks and sends
+/// orders. Returns the reason for which the term ends.
 pub(super) async fn tick_loop(node: &Arc<Node>, term: u64) -> &'static str {
     let mut tick = 0u64;
     // Workers have to find a new leader first: their reports to the last one time out after 4 s.
@@ -129,7 +130,8 @@
     }
 }
 
-/// Logs the progress of the recovery by zone and, at its end, how reports compared with the records.
+/// Logs the progress of the recovery by zone and, at its end, how reports compared with the
+/// records.
 fn log_recovery_progress(leader: &mut LeaderState, now: u64) {
     let mut complete = false;
     for progress in leader.recovery.advance_time(now) {
@@ -149,8 +151,8 @@
     }
 }
 
-/// Returns the number of late ticks in a row, given the count before and the lag of the latest tick.
-/// Logs once when the leader becomes overloaded and once when it has caught up.
+/// Returns the number of late ticks in a row, given the count before and the lag of the latest
+/// tick. Logs once when the leader becomes overloaded and once when it has caught up.
 fn count_late_ticks(late_ticks: u32, lag_ms: u64) -> u32 {
     match (lag_ms > LATE_TICK_MS, late_ticks) {
         (true, LATE_TICKS_LIMIT) => {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to and from the other controllers: one kept link to each, and the answers to theirs.
+//! Connections between controllers: a permanent link to each peer, and the server for their links.
 
 use crate::cluster::frames::{ANSWER, Header, Op, PING, read_frame};
 use crate::cluster::{MAX_IN_FLIGHT, PeerLink, PeerView};
@@ -13,35 +13,36 @@
 use tokio::time::timeout;
 use zerocopy::byteorder::little_endian::U16;
 
-/// Keeps the connection to one peer and asks it twice a second who it is.
-async fn keep_link(node: Arc<Node>, link: Arc<PeerLink>) {
+/// Maintains the connection to one peer and pings it twice a second. Its pongs carry its term,
+/// release and connectivity. Never returns.
+async fn maintain_link(node: Arc<Node>, link: Arc<PeerLink>) {
     loop {
         if let Ok(Ok(stream)) =
             timeout(Duration::from_millis(1000), node.net.connect(&link.addr)).await
         {
             let (mut read, mut write) = tokio::io::split(stream);
             let (tx, mut rx) = mpsc::channel::<Vec<u8>>(MAX_IN_FLIGHT);
-            *link.queue.lock().expect("lock") = Some(tx.clone());
+            *link.send_queue.lock().expect("lock") = Some(tx.clone());
             let reader = async {
-                // A silent peer (cut off, or without power) is given up, so that a new
-                // connection can take over when it is back.
-                while let Ok(Some((h, body))) =
+                // The connection to a silent peer (partitioned or powered off) is closed, so that a
+                // new one can be opened when the peer is back.
+                while let Ok(Some((header, body))) =
                     timeout(Duration::from_millis(4000), read_frame(&mut read)).await
                 {
-                    if h.kind != ANSWER {
+                    if header.kind != ANSWER {
                         break;
                     }
-                    if h.id.get() == 0 {
+                    if header.id.get() == 0 {
                         let view = PeerView {
                             last_heard_ms: node.now(),
-                            term: h.term.get(),
-                            is_leader: h.is_leader == 1,
-                            release: h.status.get().max(1),
-                            reachable_mask: h.reachable_mask.get(),
+                            term: header.term.get(),
+                            is_leader: header.is_leader == 1,
+                            release: header.status.get().max(1),
+                            reachable_mask: header.reachable_mask.get(),
                         };
-                        let before = link.view().release;
+                        let previous_release = link.view().release;
                         *link.view.lock().expect("lock") = view;
-                        if before != view.release {
+                        if previous_release != view.release {
                             node.cluster.log_release(&link.member, view.release);
                         }
                         node.observe_peer(link.member_index, view);
@@ -50,11 +51,12 @@
                         }
                         continue;
                     }
-                    let waiter = link.pending_replies.lock().expect("lock").remove(&h.id.get());
+                    let waiter =
+                        link.pending_replies.lock().expect("lock").remove(&header.id.get());
                     if let Some(waiter) = waiter {
                         let _ = waiter.send(Reply {
-                            status: h.status.get(),
-                            retry_after: h.retry_after.get(),
+                            status: header.status.get(),
+                            retry_after: header.retry_after.get(),
                             body,
                             close_connection: false,
                         });
@@ -77,7 +79,7 @@
                 }
             };
             tokio::select! { _ = reader => {}, _ = writer => {}, _ = pinger => {} }
-            *link.queue.lock().expect("lock") = None;
+            *link.send_queue.lock().expect("lock") = None;
             link.pending_replies.lock().expect("lock").clear();
             link.view.lock().expect("lock").last_heard_ms = 0;
         }
@@ -85,16 +87,19 @@
     }
 }
 
-/// Answers on one connection of a peer, or of somebody who wants the metrics.
+/// Serves one incoming connection: the frames of a peer, or an HTTP request for the metrics.
 pub async fn serve_peer(node: Arc<Node>, stream: impl AsyncRead + AsyncWrite + Unpin) {
     let (mut read, mut write) = tokio::io::split(stream);
-    // Peers speak frames; whoever begins with an HTTP request wants the metrics.
-    let mut first = [0u8; 4];
-    if !matches!(timeout(Duration::from_secs(10), read.read_exact(&mut first)).await, Ok(Ok(_))) {
+    // Peers send frames; a connection that begins with an HTTP request is for the metrics.
+    let mut first_bytes = [0u8; 4];
+    if !matches!(
+        timeout(Duration::from_secs(10), read.read_exact(&mut first_bytes)).await,
+        Ok(Ok(_))
+    ) {
         return;
     }
-    let mut read = std::io::Cursor::new(first).chain(read);
-    if &first == b"GET " {
+    let mut read = std::io::Cursor::new(first_bytes).chain(read);
+    if &first_bytes == b"GET " {
         let io = tokio::io::join(read, write);
         let _ = timeout(Duration::from_secs(5), metrics::serve(&node, io)).await;
         return;
@@ -109,27 +114,28 @@
     };
     let reader = async {
         let slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
-        while let Ok(Some((h, body))) =
+        while let Ok(Some((header, body))) =
             timeout(Duration::from_secs(10), read_frame(&mut read)).await
         {
-            if h.kind == PING {
-                let reaches = node.cluster.reachable_mask(node.now());
-                let facts = node.encode_connectivity();
-                let pong = Header::pong(node.leadership_status(), reaches, facts.len());
-                if tx.send(pong.encode_frame(&facts)).await.is_err() {
+            if header.kind == PING {
+                let reachable_mask = node.cluster.reachable_mask(node.now());
+                let connectivity = node.encode_connectivity();
+                let pong =
+                    Header::pong(node.leadership_status(), reachable_mask, connectivity.len());
+                if tx.send(pong.encode_frame(&connectivity)).await.is_err() {
                     break;
                 }
                 continue;
             }
-            let Some(op) = Op::from_kind(h.kind) else { break };
+            let Some(op) = Op::from_kind(header.kind) else { break };
             let Ok(slot) = slots.clone().try_acquire_owned() else { continue };
             let (node, tx) = (node.clone(), tx.clone());
             tokio::spawn(async move {
-                let reply = node.serve_or_forward(op, &body, h.hops).await;
-                let mut head = Header::new(ANSWER, h.id.get(), reply.body.len());
-                head.status = U16::new(reply.status);
-                head.retry_after = U16::new(reply.retry_after);
-                let _ = tx.send(head.encode_frame(&reply.body)).await;
+                let reply = node.serve_or_forward(op, &body, header.hops).await;
+                let mut reply_header = Header::new(ANSWER, header.id.get(), reply.body.len());
+                reply_header.status = U16::new(reply.status);
+                reply_header.retry_after = U16::new(reply.retry_after);
+                let _ = tx.send(reply_header.encode_frame(&reply.body)).await;
                 drop(slot);
             });
         }
@@ -137,25 +143,27 @@
     tokio::select! { _ = reader => {}, _ = writer => {} }
 }
 
-/// Keeps a link to every other controller.
+/// Starts one task for each other controller that maintains the link to it.
 pub fn maintain_links(node: &Arc<Node>) {
     for link in &node.cluster.links {
-        tokio::spawn(keep_link(node.clone(), link.clone()));
+        tokio::spawn(maintain_link(node.clone(), link.clone()));
     }
 }
 
+/// Listens on `cluster_listen` and serves up to 32 connections at a time. Returns only when the
+/// address cannot be bound.
 pub async fn run(node: Arc<Node>) -> Result<(), ListenError> {
     let listener = listen(&node.settings.cluster_listen, "cluster_listen", BIND_TIMEOUT).await?;
-    // Kept until the process ends: nobody else can have it before.
+    // The address stays bound until the process ends, so no other process can listen on it before.
     node.set_listen_addr(&node.settings.cluster_listen);
     maintain_links(&node);
-    let most = Arc::new(Semaphore::new(32));
+    let connection_slots = Arc::new(Semaphore::new(32));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let Ok(slot) = most.clone().try_acquire_owned() else { continue };
+        let Ok(slot) = connection_slots.clone().try_acquire_owned() else { continue };
         let _ = stream.set_nodelay(true);
         let node = node.clone();
         tokio::spawn(async move {
