--- a/crates/core/src/group_commit.rs
+++ b/crates/core/src/group_commit.rs
@@ -200,7 +200,7 @@
         final_record: Option<FinalRecord>,
     ) {
         if let (Some(uid), Some(record)) = (key.strip_prefix("f/"), final_record)
-            && let Some(id) = self.unaccepted_job(uid)
+            && let Some(id) = self.unaccepted_job_id(uid)
         {
             // The job was taken for a new one, but had finished before: none of its tasks was
             // started, and nothing was reported to users.
@@ -214,14 +214,14 @@
     /// Drops a job that was taken for a new one but has a final record, which can't be read, and notes
     /// it as unreadable. None of its tasks was started, and nothing was reported to users.
     pub fn abandon_unreadable_job(&mut self, uid: &str) {
-        if let Some(id) = self.unaccepted_job(uid) {
+        if let Some(id) = self.unaccepted_job_id(uid) {
             self.drop_unaccepted_job(id);
             self.unreadable.add_job(uid, format!("its record f/{uid} can't be read"));
         }
     }
 
     /// Returns the job of this id if it was added and is not accepted (recorded) yet.
-    fn unaccepted_job(&self, uid: &str) -> Option<JobId> {
+    fn unaccepted_job_id(&self, uid: &str) -> Option<JobId> {
         let (id, job) = self.job(uid)?;
         (!self.is_accepted(id, job)).then_some(id)
     }
