--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,8 +1,8 @@
-//! Limits that the protocol sets.
+//! Limits set by the protocol.
 
-/// Tasks of a job at most (protocol, `parcels`).
+/// Maximum number of tasks of a job (protocol, `parcels`).
 pub const MAX_TASKS_PER_JOB: u64 = 100_000;
-/// The longest name of a class, team or image that is taken, in bytes.
+/// Maximum length of the name of a class, team or image, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// Bytes of a request's body, and of an answer to workers and users, at most.
+/// Maximum length of a request body and of a response to workers and users, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
