--- a/crates/fairness/src/deficit.rs
+++ b/crates/fairness/src/deficit.rs
@@ -1,198 +1,232 @@
-//! Whose jobs go before others, on account of what was served.
+//! Decides whose jobs go before others, based on what each team and class was served.
 //!
-//! Between teams: one that is served less than the floor goes before the others with as much as its share
-//! of what there is (weighted max-min) leaves it, all such teams side by side. A flood of its own gives a
-//! team no claim to what others need: it has its share. Between the classes of a team: the least served
-//! goes before the others, in the places that the team has in the order anyway, so that all of them are
-//! served in proportion to what the team offers of each. While nobody is below the floor, nobody goes
-//! before anybody.
+//! Between teams: a team whose served share is below [`MIN_SERVED_SHARE`] goes before the others with as many
+//! CPUs as are left of its weighted max-min share, and all such teams advance evenly. A team that floods the
+//! queue cannot claim what others need: it is limited to its share. Between the classes of a team: the least
+//! served goes first, within the positions that the team has in the order anyway, so that its classes are
+//! served in proportion to what the team submits of each. While nobody is below the minimum, the order is
+//! by rank alone.
 
 use crate::ledger::{FairnessCounters, FairnessLedger};
 use crate::shares::{WeightedDemand, weighted_max_min};
 use crate::{Team, TeamClass};
 use std::collections::BTreeMap;
 
-/// Whoever is served less than this part of what should have been done by now is in need.
+/// A team or class is underserved if less than this share of the jobs that should be done by now is done.
 pub const MIN_SERVED_SHARE: f64 = 0.6;
 
-/// Needs are told apart in steps of this much of a share, so that two that are served alike don't
-/// overtake each other with every job that is done.
-pub const STEP: f64 = 0.05;
+/// Width of a deficit level, as a share. With levels, two classes that are served alike don't overtake each
+/// other with every job that is done.
+pub const DEFICIT_STEP: f64 = 0.05;
 
-/// Within this many seconds a team makes up for what it missed, or pays for what it had too much.
+/// Seconds within which a team catches up on what it missed, or gives back what it had beyond its share.
 const CATCH_UP_S: f64 = 120.0;
 
-/// How urgent it is that somebody is served: the lower, the more. `Need::NONE`: not at all.
+/// How much a team or class is underserved: the lower the level, the greater the deficit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DeficitLevel(pub u8);
 
 impl DeficitLevel {
+    /// Level of a team or class that is not underserved.
     pub const NONE: DeficitLevel = DeficitLevel(u8::MAX);
 
-    /// The need of somebody of whom this share is served.
+    /// Returns the level of a served share between 0 and 1.
     pub fn from_share(share: f64) -> DeficitLevel {
         if share >= MIN_SERVED_SHARE {
             DeficitLevel::NONE
         } else {
-            DeficitLevel((share / STEP).max(0.0) as u8)
+            DeficitLevel((share / DEFICIT_STEP).max(0.0) as u8)
         }
     }
 
+    /// Returns whether there is a deficit.
     pub fn is_underserved(self) -> bool {
         self != DeficitLevel::NONE
     }
 
-    /// Does nothing of whoever has this need make room for `other`, because that one's is no greater?
+    /// Returns whether work with this deficit is protected from preemption by work with the deficit `other`,
+    /// because the other deficit is not greater.
     pub fn is_protected_from(self, other: DeficitLevel) -> bool {
         self.is_underserved() && self <= other
     }
 }
 
-/// What a team uses and wants yet, and what it counts for. CPUs.
+/// CPU usage and demand of a team.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamDemand {
+    /// CPUs that the team uses.
     pub used_cpus: f64,
+    /// CPUs that its waiting tasks ask for.
     pub waiting_cpus: f64,
-    /// Its guarantee, or whatever it is to be weighed by; 0 for guests, who go before nobody.
+    /// Weight of the team in the shares, usually its guarantee; 0 for a team without a guarantee, which never
+    /// goes before others.
     pub weight: f64,
 }
 
-/// Who is in need at a moment.
+/// The underserved teams and classes at one time.
 #[derive(Debug, Default)]
 pub struct Deficits {
-    /// Teams in need that use less than their share: what they use, their share, their weight.
+    /// Underserved teams that use less than their share: used CPUs (adjusted by recent use), share in CPUs, weight.
     teams: BTreeMap<Team, (f64, f64, f64)>,
-    pairs: BTreeMap<TeamClass, DeficitLevel>,
+    class_deficits: BTreeMap<TeamClass, DeficitLevel>,
 }
 
 impl Deficits {
-    /// Is the team served too little, and has less than its share?
+    /// Returns whether the team is underserved and uses less than its share.
     pub fn is_team_underserved(&self, team: Team) -> bool {
         self.teams.contains_key(&team)
     }
 
-    /// Does the class go before others of the team, and how soon?
-    pub fn class_deficit(&self, pair: TeamClass) -> DeficitLevel {
-        self.pairs.get(&pair).copied().unwrap_or(DeficitLevel::NONE)
+    /// Returns the deficit of a class of a team; the least level goes first among the team's classes.
+    pub fn class_deficit(&self, team_class: TeamClass) -> DeficitLevel {
+        self.class_deficits.get(&team_class).copied().unwrap_or(DeficitLevel::NONE)
     }
 
+    /// Returns whether any team or class is underserved.
     pub fn has_any(&self) -> bool {
-        !(self.teams.is_empty() && self.pairs.is_empty())
+        !(self.teams.is_empty() && self.class_deficits.is_empty())
     }
 }
 
 impl FairnessLedger {
-    /// Is anybody served less than the floor? If not, there is no need to work out claims.
+    /// Returns whether any team, or any class of a team, is underserved. If not, the caller need not compute
+    /// the demands for [`compute_deficits`](Self::compute_deficits).
     pub fn has_underserved(&self) -> bool {
-        let short =
+        let is_underserved =
             |late: u32, share: f64| late > 0 && DeficitLevel::from_share(share).is_underserved();
-        self.team_classes().any(|(pair, row)| self.need_of(pair, row).is_underserved())
-            || self.teams().any(|(_, r)| short(r.late, r.served_share_upper_bound(self.now)))
+        self.team_classes()
+            .any(|(team_class, counters)| self.deficit_of(team_class, counters).is_underserved())
+            || self.teams().any(|(_, counters)| {
+                is_underserved(counters.late, counters.served_share_upper_bound(self.now))
+            })
     }
 
-    /// How urgently a class of a team is in need.
-    fn need_of(&self, pair: TeamClass, row: &FairnessCounters) -> DeficitLevel {
-        let need = if row.late > 0 {
-            DeficitLevel::from_share(row.served_share(self.now))
+    /// Returns the deficit of a class of a team.
+    fn deficit_of(&self, team_class: TeamClass, counters: &FairnessCounters) -> DeficitLevel {
+        let deficit = if counters.late > 0 {
+            DeficitLevel::from_share(counters.served_share(self.now))
         } else {
             DeficitLevel::NONE
         };
-        if need.is_underserved() && self.famine(pair) { need } else { DeficitLevel::NONE }
+        if deficit.is_underserved() && self.is_underserved_overall(team_class) {
+            deficit
+        } else {
+            DeficitLevel::NONE
+        }
     }
 
-    /// Is the class, or the team, served too little as a whole, beyond what so few jobs may do by chance? A pair of
-    /// them has few jobs even in a flood.
-    fn famine(&self, (team, class): TeamClass) -> bool {
-        let of = |row: Option<&FairnessCounters>| {
-            row.is_some_and(|r| {
-                DeficitLevel::from_share(r.served_share_upper_bound(self.now)).is_underserved()
+    /// Returns whether the class or the team is underserved as a whole, by more than chance explains. A single
+    /// class of a team has too few jobs to tell, even under heavy load.
+    fn is_underserved_overall(&self, (team, class): TeamClass) -> bool {
+        let is_underserved = |counters: Option<&FairnessCounters>| {
+            counters.is_some_and(|counters| {
+                DeficitLevel::from_share(counters.served_share_upper_bound(self.now))
+                    .is_underserved()
             })
         };
-        of(self.class(class)) || of(self.team(team))
+        is_underserved(self.class(class)) || is_underserved(self.team(team))
     }
 
-    /// Who is in need, with so many CPUs to share. `claims`: what every team uses and wants; whoever
-    /// has none goes before nobody.
-    pub fn compute_deficits(&self, claims: &BTreeMap<Team, TeamDemand>, cpus: f64) -> Deficits {
+    /// Computes which teams and classes are underserved, with `cpus` CPUs to share. A team that is missing from
+    /// `demands` does not go before others.
+    pub fn compute_deficits(&self, demands: &BTreeMap<Team, TeamDemand>, cpus: f64) -> Deficits {
         let now = self.now;
-        let mut needs = Deficits::default();
-        for (pair, row) in self.team_classes() {
-            let need = self.need_of(pair, row);
-            if need.is_underserved() {
-                needs.pairs.insert(pair, need);
+        let mut deficits = Deficits::default();
+        for (team_class, counters) in self.team_classes() {
+            let deficit = self.deficit_of(team_class, counters);
+            if deficit.is_underserved() {
+                deficits.class_deficits.insert(team_class, deficit);
             }
         }
-        let want = |c: &TeamDemand| WeightedDemand {
-            amount: c.used_cpus + c.waiting_cpus,
-            weight: c.weight,
+        let weighted = |demand: &TeamDemand| WeightedDemand {
+            amount: demand.used_cpus + demand.waiting_cpus,
+            weight: demand.weight,
         };
-        let wants: Vec<WeightedDemand> = claims.values().map(want).collect();
-        let fair = weighted_max_min(&wants, cpus);
-        // What each had of late, and should have had of as much: whoever had more counts as using more
-        // now, so that what was missed is made up for, whoever leads.
-        let had: Vec<f64> = claims
+        let weighted_demands: Vec<WeightedDemand> = demands.values().map(weighted).collect();
+        let fair_cpus = weighted_max_min(&weighted_demands, cpus);
+        // The CPU seconds that each team had recently, and its fair share of their sum. A team that had more
+        // than that counts as using more now, so that the others catch up, whichever leader they missed it under.
+        let recent_cpu_s: Vec<f64> = demands
             .keys()
-            .map(|t| self.team(*t).map_or(0.0, |r| r.recent.completed_cpu_s.value_at(now)))
+            .map(|team| {
+                self.team(*team)
+                    .map_or(0.0, |counters| counters.recent.completed_cpu_s.value_at(now))
+            })
             .collect();
-        let wants: Vec<WeightedDemand> = (had.iter().zip(&wants))
-            .map(|(had, w)| WeightedDemand { amount: had + w.amount * CATCH_UP_S, ..*w })
+        let weighted_demands: Vec<WeightedDemand> = (recent_cpu_s.iter().zip(&weighted_demands))
+            .map(|(recent, demand)| WeightedDemand {
+                amount: recent + demand.amount * CATCH_UP_S,
+                ..*demand
+            })
             .collect();
-        let due = weighted_max_min(&wants, had.iter().sum());
-        for (i, (team, claim)) in claims.iter().enumerate() {
-            let Some(row) = self.team(*team).filter(|r| r.late > 0) else { continue };
-            let need = DeficitLevel::from_share(row.served_share_upper_bound(now));
-            let uses = (claim.used_cpus + (had[i] - due[i]) / CATCH_UP_S).max(0.0);
-            if need.is_underserved() && claim.weight > 0.0 && uses < fair[i] {
-                needs.teams.insert(*team, (uses, fair[i], claim.weight));
+        let fair_recent_cpu_s = weighted_max_min(&weighted_demands, recent_cpu_s.iter().sum());
+        for (i, (team, demand)) in demands.iter().enumerate() {
+            let Some(counters) = self.team(*team).filter(|counters| counters.late > 0) else {
+                continue;
+            };
+            let deficit = DeficitLevel::from_share(counters.served_share_upper_bound(now));
+            let adjusted_cpus =
+                (demand.used_cpus + (recent_cpu_s[i] - fair_recent_cpu_s[i]) / CATCH_UP_S).max(0.0);
+            if deficit.is_underserved() && demand.weight > 0.0 && adjusted_cpus < fair_cpus[i] {
+                deficits.teams.insert(*team, (adjusted_cpus, fair_cpus[i], demand.weight));
             }
         }
-        needs
+        deficits
     }
 }
 
-/// One in the order of service, with the rank that it has when nobody is in need, and the CPUs that it
-/// waits for.
+/// An entry of the order in which jobs are served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueueEntry<R, T> {
+    /// Team and class of the job.
     pub team_class: TeamClass,
+    /// Order of the entry while no team or class is underserved; the least goes first.
     pub rank: R,
+    /// CPUs that the job waits for.
     pub cpus: f64,
+    /// The caller's reference to the job.
     pub item: T,
 }
 
-/// The order in which jobs are served: by rank, but of the places that a team has in it, its classes in
-/// need get the first; and before all others what teams in need may still have of their shares, evenly by
-/// weight.
+/// Sorts the entries into the order in which jobs are served: by rank, except that underserved classes get the
+/// first of their team's positions, and that entries of underserved teams go before all others until each such
+/// team has its share, evenly by weight.
 pub fn order_by_deficit<R: Ord + Copy, T: Copy>(
-    places: &mut Vec<QueueEntry<R, T>>,
-    needs: &Deficits,
+    entries: &mut Vec<QueueEntry<R, T>>,
+    deficits: &Deficits,
 ) {
-    places.sort_by_key(|p| p.rank);
-    if !needs.has_any() {
+    entries.sort_by_key(|entry| entry.rank);
+    if !deficits.has_any() {
         return;
     }
-    let mut of: BTreeMap<Team, Vec<usize>> = BTreeMap::new();
-    for (i, p) in places.iter().enumerate() {
-        of.entry(p.team_class.0).or_default().push(i);
+    let mut positions_by_team: BTreeMap<Team, Vec<usize>> = BTreeMap::new();
+    for (i, entry) in entries.iter().enumerate() {
+        positions_by_team.entry(entry.team_class.0).or_default().push(i);
     }
-    let mut first: Vec<(f64, usize)> = vec![];
-    for (team, at) in of {
-        let mut own: Vec<QueueEntry<R, T>> = at.iter().map(|i| places[*i]).collect();
-        own.sort_by_key(|p| (needs.class_deficit(p.team_class), p.rank));
-        let lift = needs.teams.get(&team).copied();
-        let (mut uses, fair, weight) = lift.unwrap_or((0.0, 0.0, 1.0));
-        for (i, p) in at.into_iter().zip(own) {
-            places[i] = p;
-            if uses < fair && p.cpus > 0.0 {
-                first.push((uses / weight, i));
-                uses += p.cpus;
+    // (CPUs in use by weight, position) of the entries that go before all others.
+    let mut promoted: Vec<(f64, usize)> = vec![];
+    for (team, positions) in positions_by_team {
+        let mut team_entries: Vec<QueueEntry<R, T>> =
+            positions.iter().map(|i| entries[*i]).collect();
+        team_entries.sort_by_key(|entry| (deficits.class_deficit(entry.team_class), entry.rank));
+        let team_share = deficits.teams.get(&team).copied();
+        let (mut used_cpus, fair_cpus, weight) = team_share.unwrap_or((0.0, 0.0, 1.0));
+        for (i, entry) in positions.into_iter().zip(team_entries) {
+            entries[i] = entry;
+            if used_cpus < fair_cpus && entry.cpus > 0.0 {
+                promoted.push((used_cpus / weight, i));
+                used_cpus += entry.cpus;
             }
         }
     }
-    first.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    let mut lifted = vec![false; places.len()];
-    first.iter().for_each(|(_, i)| lifted[*i] = true);
-    let head = first.iter().map(|(_, i)| places[*i]);
-    let rest = places.iter().zip(&lifted).filter(|(_, up)| !**up).map(|(p, _)| *p);
-    *places = head.chain(rest).collect();
+    promoted.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    let mut is_promoted = vec![false; entries.len()];
+    promoted.iter().for_each(|(_, i)| is_promoted[*i] = true);
+    let head = promoted.iter().map(|(_, i)| entries[*i]);
+    let rest = entries
+        .iter()
+        .zip(&is_promoted)
+        .filter(|(_, promoted)| !**promoted)
+        .map(|(entry, _)| *entry);
+    *entries = head.chain(rest).collect();
 }
--- a/crates/fairness/src/lib.rs
+++ b/crates/fairness/src/lib.rs
@@ -1,10 +1,14 @@
-//! Who was served, and who is to be served next, so that no team and no class starves.
+//! Fairness accounting: which teams and classes were served, and which to serve next, so that none starves.
 //!
-//! Decisions and state alone: no socket, no clock. `ledger` counts service by team, by class and by both as
-//! it happens; `need` tells from it whose jobs go before others; `loss` bounds what of a class's work may be
-//! stopped for others; `carried` is what of the ledger outlives a leader. See `docs/fairness.md`.
+//! The crate holds decisions and their state, and uses no sockets and no clock. [`ledger`] counts by team, by
+//! class and by both as jobs and tasks change state; [`deficit`] derives from it whose jobs go before others;
+//! [`loss`] bounds how much of a class's work may be lost to preemption; [`snapshot`] is the part of the ledger
+//! that outlives a leader; [`shares`] computes weighted max-min shares; [`capacity`] divides memory for tasks
+//! among teams; [`decaying_sum`] holds recent sums. See `docs/fairness.md`.
 //!
-//! Times are milliseconds on the caller's steady clock. Shares are between 0 and 1.
+//! Times are milliseconds on the caller's monotonic clock. Shares are between 0 and 1.
+
+#![warn(missing_docs)]
 
 pub mod capacity;
 pub mod decaying_sum;
@@ -14,17 +18,17 @@
 pub mod shares;
 pub mod snapshot;
 
-/// A team, as the caller numbers it.
+/// Number of a team, assigned by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Team(pub u32);
 
-/// A class of jobs, as the caller numbers it.
+/// Number of a class of jobs, assigned by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Class(pub u32);
 
-/// A job, as the caller numbers it.
+/// Number of a job, assigned by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Job(pub u64);
 
-/// Whose a job is and of which class: what service is counted by.
+/// The team and the class of a job, by which the ledger counts.
 pub type TeamClass = (Team, Class);
