--- a/crates/fairness/tests/service.rs
+++ b/crates/fairness/tests/service.rs
@@ -1,5 +1,5 @@
-//! The ledger against a plain recount, what a successor makes of it, and that nobody starves by the order
-//! that follows from it: random schedules against shares worked out plainly.
+//! Random schedules check the ledger against a recount, its snapshot against a restored successor, and the
+//! order of service against shares computed independently, so that no team or class starves.
 
 use copperhaven_fairness::capacity::TaskCapacity;
 use copperhaven_fairness::deficit::{
@@ -12,33 +12,34 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-const AIM: u64 = 20_000;
+/// Target time of all jobs, in milliseconds.
+const TARGET_MS: u64 = 20_000;
 
 #[derive(Debug, Clone)]
 enum Event {
-    Take(u32, u32),
+    Accept(u32, u32),
     Done(usize),
     Cancel(usize),
-    Park(usize),
-    Stop(u32, u32, f64),
-    Pass(u64),
+    Block(usize),
+    Preempt(u32, u32, f64),
+    Advance(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0..3u32, 0..3u32).prop_map(|(t, c)| Event::Take(t, c)),
+        (0..3u32, 0..3u32).prop_map(|(t, c)| Event::Accept(t, c)),
         (0..50usize).prop_map(Event::Done),
         (0..50usize).prop_map(Event::Cancel),
-        (0..50usize).prop_map(Event::Park),
-        (0..3u32, 0..3u32, 0.0..100.0).prop_map(|(t, c, s)| Event::Stop(t, c, s)),
-        (0..15_000u64).prop_map(Event::Pass),
+        (0..50usize).prop_map(Event::Block),
+        (0..3u32, 0..3u32, 0.0..100.0).prop_map(|(t, c, s)| Event::Preempt(t, c, s)),
+        (0..15_000u64).prop_map(Event::Advance),
     ]
 }
 
-/// What the ledger should say, worked out from all that ever happened.
+/// Counters expected of the ledger, from all events.
 #[derive(Default, Clone, Copy, PartialEq, Debug)]
-struct Plain {
-    taken: u64,
+struct ExpectedCounters {
+    accepted: u64,
     done: u64,
     cancelled: u64,
     open: u32,
@@ -49,10 +50,10 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(24), ..Default::default() })]
 
     #[test]
-    fn rows_agree_with_a_recount(events in proptest::collection::vec(event(), 1..120)) {
-        let mut s = FairnessLedger::default();
+    fn counters_match_a_recount(events in proptest::collection::vec(event(), 1..120)) {
+        let mut ledger = FairnessLedger::default();
         let mut now = 1000;
-        let mut plain: BTreeMap<TeamClass, Plain> = BTreeMap::new();
+        let mut expected: BTreeMap<TeamClass, ExpectedCounters> = BTreeMap::new();
         let mut open: Vec<(Job, TeamClass, u64)> = vec![];
         let mut next = 0;
         let pick = |open: &mut Vec<(Job, TeamClass, u64)>, i: usize| {
@@ -60,78 +61,78 @@
         };
         for e in events {
             match e {
-                Event::Take(t, c) => {
-                    let pair = (Team(t), Class(c));
+                Event::Accept(t, c) => {
+                    let team_class = (Team(t), Class(c));
                     next += 1;
-                    s.job_accepted(pair);
-                    s.job_opened(Job(next), pair, now as i64, AIM);
-                    open.push((Job(next), pair, now));
-                    plain.entry(pair).or_default().taken += 1;
+                    ledger.job_accepted(team_class);
+                    ledger.job_opened(Job(next), team_class, now as i64, TARGET_MS);
+                    open.push((Job(next), team_class, now));
+                    expected.entry(team_class).or_default().accepted += 1;
                 }
-                Event::Done(i) => if let Some((job, pair, _)) = pick(&mut open, i) {
-                    s.job_done(job);
-                    // Told twice, it counts once.
-                    s.job_done(job);
-                    plain.entry(pair).or_default().done += 1;
+                Event::Done(i) => if let Some((job, team_class, _)) = pick(&mut open, i) {
+                    ledger.job_done(job);
+                    // A repeated event counts once.
+                    ledger.job_done(job);
+                    expected.entry(team_class).or_default().done += 1;
                 },
-                Event::Cancel(i) => if let Some((job, pair, _)) = pick(&mut open, i) {
-                    s.job_cancelled(job, pair);
-                    plain.entry(pair).or_default().cancelled += 1;
+                Event::Cancel(i) => if let Some((job, team_class, _)) = pick(&mut open, i) {
+                    ledger.job_cancelled(job, team_class);
+                    expected.entry(team_class).or_default().cancelled += 1;
                 },
-                Event::Park(i) => if let Some((job, ..)) = pick(&mut open, i) {
-                    s.remove_job(job);
+                Event::Block(i) => if let Some((job, ..)) = pick(&mut open, i) {
+                    ledger.remove_job(job);
                 },
-                Event::Stop(t, c, lost) => s.task_preempted((Team(t), Class(c)), lost),
-                Event::Pass(ms) => {
+                Event::Preempt(t, c, lost) => ledger.task_preempted((Team(t), Class(c)), lost),
+                Event::Advance(ms) => {
                     now += ms;
-                    s.advance_time(now, 0, |_| false);
+                    ledger.advance_time(now, 0, |_| false);
                 }
             }
         }
-        s.advance_time(now, 0, |_| false);
-        for (_, pair, since) in &open {
-            let p = plain.entry(*pair).or_default();
-            p.open += 1;
-            p.late += u32::from(since + (AIM as f64 * LATE_FRACTION) as u64 <= now);
+        ledger.advance_time(now, 0, |_| false);
+        for (_, team_class, since) in &open {
+            let expected = expected.entry(*team_class).or_default();
+            expected.open += 1;
+            expected.late += u32::from(since + (TARGET_MS as f64 * LATE_FRACTION) as u64 <= now);
         }
-        let row = |r: &copperhaven_fairness::ledger::FairnessCounters| Plain {
-            taken: r.accepted, done: r.done, cancelled: r.cancelled, open: r.open, late: r.late,
+        let counts = |counters: &copperhaven_fairness::ledger::FairnessCounters| ExpectedCounters {
+            accepted: counters.accepted, done: counters.done, cancelled: counters.cancelled, open: counters.open, late: counters.late,
         };
-        for (pair, p) in &plain {
-            prop_assert_eq!(row(s.team_class(*pair).expect("counted")), *p);
+        for (team_class, expected) in &expected {
+            prop_assert_eq!(counts(ledger.team_class(*team_class).expect("counted")), *expected);
         }
-        let counted = s.recount();
-        for (pair, p) in plain.iter().filter(|(_, p)| p.open > 0) {
-            prop_assert_eq!(counted[pair], (p.open, p.late));
+        let counted = ledger.recount();
+        for (team_class, expected) in expected.iter().filter(|(_, e)| e.open > 0) {
+            prop_assert_eq!(counted[team_class], (expected.open, expected.late));
         }
         // Sums by team are sums over its classes.
         for t in 0..3 {
-            let sum: u64 = plain.iter().filter(|((team, _), _)| team.0 == t).map(|(_, p)| p.done).sum();
-            prop_assert_eq!(s.team(Team(t)).map_or(0, |r| r.done), sum);
-            let stopped: f64 = s.team_classes().filter(|((team, _), _)| team.0 == t).map(|(_, r)| r.lost_cpu_s).sum();
-            prop_assert!((s.team(Team(t)).map_or(0.0, |r| r.lost_cpu_s) - stopped).abs() < 1e-6);
+            let done: u64 = expected.iter().filter(|((team, _), _)| team.0 == t).map(|(_, e)| e.done).sum();
+            prop_assert_eq!(ledger.team(Team(t)).map_or(0, |r| r.done), done);
+            let lost_cpu_s: f64 = ledger.team_classes().filter(|((team, _), _)| team.0 == t).map(|(_, r)| r.lost_cpu_s).sum();
+            prop_assert!((ledger.team(Team(t)).map_or(0.0, |r| r.lost_cpu_s) - lost_cpu_s).abs() < 1e-6);
         }
-        // A successor that goes on from what is carried, and from the open jobs' own records, has the
-        // same needs: deficits outlive a leader.
-        let carried = s.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
-        let mut heir = FairnessLedger::default();
-        for row in &carried {
-            let pair = (Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap()));
-            heir.restore(pair, row, now);
+        // A successor that restores the snapshot and adds the open jobs from their own records has the
+        // same deficits: they outlive a leader.
+        let snapshot = ledger.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
+        let mut successor = FairnessLedger::default();
+        for row in &snapshot {
+            let team_class = (Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap()));
+            successor.restore(team_class, row, now);
         }
-        for (job, pair, since) in &open {
-            heir.job_opened(*job, *pair, *since as i64, AIM);
+        for (job, team_class, since) in &open {
+            successor.job_opened(*job, *team_class, *since as i64, TARGET_MS);
         }
-        heir.advance_time(now, 0, |_| false);
-        for (pair, r) in s.team_classes() {
-            let h = heir.team_class(pair).expect("carried");
-            prop_assert_eq!(row(h), row(r));
-            prop_assert!((h.served_share(now) - r.served_share(now)).abs() < 0.01);
+        successor.advance_time(now, 0, |_| false);
+        for (team_class, r) in ledger.team_classes() {
+            let restored = successor.team_class(team_class).expect("restored");
+            prop_assert_eq!(counts(restored), counts(r));
+            prop_assert!((restored.served_share(now) - r.served_share(now)).abs() < 0.01);
         }
     }
 }
 
-/// A stream of jobs, one every so many steps, and the rank that they have when nobody is in need.
+/// A stream of jobs, one every `every` steps, with their rank while nobody is underserved.
 #[derive(Debug, Clone)]
 struct Stream {
     team: u32,
@@ -139,171 +140,175 @@
     rank: u8,
 }
 
-/// A server of one job a step, a CPU second each. Returns what was offered and served of each stream.
-/// From `heir_at` on, a successor serves that knows what was carried and what is open.
-fn serve(streams: &[Stream], steps: u64, by_need: bool, heir_at: u64) -> Vec<(u64, u64)> {
-    const STEP: u64 = 1000;
-    let mut s = FairnessLedger::default();
+/// Serves one job of one CPU second per step. Returns the jobs (offered, served) of each stream. At step
+/// `successor_at`, a successor takes over that knows the snapshot and the open jobs.
+fn serve(streams: &[Stream], steps: u64, by_deficit: bool, successor_at: u64) -> Vec<(u64, u64)> {
+    const STEP_MS: u64 = 1000;
+    let mut ledger = FairnessLedger::default();
     let mut waiting: Vec<std::collections::VecDeque<(Job, u64)>> =
         vec![Default::default(); streams.len()];
     let mut out = vec![(0, 0); streams.len()];
     let mut next = 0;
-    let pair = |i: usize| (Team(streams[i].team), Class(i as u32));
+    let team_class = |i: usize| (Team(streams[i].team), Class(i as u32));
     for step in 0..steps {
-        let now = 1000 + step * STEP;
-        if step == heir_at {
-            let carried = s.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
-            s = FairnessLedger::default();
-            for row in &carried {
-                s.restore(
+        let now = 1000 + step * STEP_MS;
+        if step == successor_at {
+            let snapshot = ledger.snapshot(|(t, c)| (t.0.to_string(), c.0.to_string()));
+            ledger = FairnessLedger::default();
+            for row in &snapshot {
+                ledger.restore(
                     (Team(row.team.parse().unwrap()), Class(row.class.parse().unwrap())),
                     row,
                     now,
                 );
             }
             for (i, jobs) in waiting.iter().enumerate() {
-                jobs.iter()
-                    .for_each(|(job, since)| s.job_opened(*job, pair(i), *since as i64, AIM));
+                jobs.iter().for_each(|(job, since)| {
+                    ledger.job_opened(*job, team_class(i), *since as i64, TARGET_MS)
+                });
             }
         }
         for (i, stream) in streams.iter().enumerate() {
             if step.is_multiple_of(stream.every) {
                 next += 1;
-                s.job_accepted(pair(i));
-                s.job_opened(Job(next), pair(i), now as i64, AIM);
+                ledger.job_accepted(team_class(i));
+                ledger.job_opened(Job(next), team_class(i), now as i64, TARGET_MS);
                 waiting[i].push_back((Job(next), now));
                 out[i].0 += 1;
             }
         }
-        s.advance_time(now, 0, |_| false);
-        let mut claims: BTreeMap<Team, TeamDemand> = BTreeMap::new();
-        let mut places = vec![];
+        ledger.advance_time(now, 0, |_| false);
+        let mut demands: BTreeMap<Team, TeamDemand> = BTreeMap::new();
+        let mut entries = vec![];
         for (i, jobs) in waiting.iter().enumerate().filter(|(_, w)| !w.is_empty()) {
-            let claim = claims.entry(pair(i).0).or_default();
-            claim.weight = 1.0;
-            claim.waiting_cpus += jobs.len() as f64;
+            let demand = demands.entry(team_class(i).0).or_default();
+            demand.weight = 1.0;
+            demand.waiting_cpus += jobs.len() as f64;
             for (job, _) in jobs {
-                places.push(QueueEntry {
-                    team_class: pair(i),
+                entries.push(QueueEntry {
+                    team_class: team_class(i),
                     rank: (streams[i].rank, *job),
                     cpus: 1.0,
                     item: i,
                 });
             }
         }
-        let needs = if by_need { s.compute_deficits(&claims, 1.0) } else { Deficits::default() };
-        order_by_deficit(&mut places, &needs);
-        if let Some(i) = places.first().map(|p| p.item)
+        let deficits =
+            if by_deficit { ledger.compute_deficits(&demands, 1.0) } else { Deficits::default() };
+        order_by_deficit(&mut entries, &deficits);
+        if let Some(i) = entries.first().map(|p| p.item)
             && let Some((job, _)) = waiting[i].pop_front()
         {
-            s.task_completed(pair(i), 1.0);
-            s.job_done(job);
+            ledger.task_completed(team_class(i), 1.0);
+            ledger.job_done(job);
             out[i].1 += 1;
         }
     }
     out
 }
 
-/// Max-min by steps of a thousandth, independent of the closed form: whoever has least for its weight and
-/// wants more gets the next bit.
-fn by_steps(wants: &[WeightedDemand], capacity: f64) -> Vec<f64> {
-    let mut got = vec![0.0; wants.len()];
+/// Computes max-min shares in small steps, independently of the closed form: each step goes to the demand that
+/// is not met and has least for its weight.
+fn max_min_by_steps(demands: &[WeightedDemand], capacity: f64) -> Vec<f64> {
+    let mut got = vec![0.0; demands.len()];
     let step = capacity / 20_000.0;
     for _ in 0..20_000 {
-        let wanting = (0..wants.len()).filter(|i| got[*i] + step / 2.0 < wants[*i].amount);
-        let least = wanting
-            .min_by(|a, b| (got[*a] / wants[*a].weight).total_cmp(&(got[*b] / wants[*b].weight)));
-        let Some(i) = least else { break };
-        got[i] += step.min(wants[i].amount - got[i]);
+        let unmet = (0..demands.len()).filter(|i| got[*i] + step / 2.0 < demands[*i].amount);
+        let next = unmet.min_by(|a, b| {
+            (got[*a] / demands[*a].weight).total_cmp(&(got[*b] / demands[*b].weight))
+        });
+        let Some(i) = next else { break };
+        got[i] += step.min(demands[i].amount - got[i]);
     }
     got
 }
 
-/// Jobs that anybody may be behind its share: those before the first counts as neglected, and those
-/// by which two needs differ.
-const BOUND: f64 = 40.0;
+/// Jobs by which a stream may be behind its share: those that are submitted before the first is late, and those
+/// that it takes for two deficits to differ.
+const MAX_JOBS_BEHIND: f64 = 40.0;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 32, failure_persistence: None, rng_seed: RngSeed::Fixed(24), ..Default::default() })]
 
     #[test]
     fn shares_are_max_min(
-        wants in proptest::collection::vec((0.0..100.0f64, 0.1..10.0f64), 1..8),
+        demands in proptest::collection::vec((0.0..100.0f64, 0.1..10.0f64), 1..8),
         capacity in 1.0..300.0f64,
     ) {
-        let wants: Vec<WeightedDemand> = wants.into_iter().map(|(amount, weight)| WeightedDemand { amount, weight }).collect();
-        let got = weighted_max_min(&wants, capacity);
-        for (i, (a, b)) in got.iter().zip(by_steps(&wants, capacity)).enumerate() {
+        let demands: Vec<WeightedDemand> = demands.into_iter().map(|(amount, weight)| WeightedDemand { amount, weight }).collect();
+        let got = weighted_max_min(&demands, capacity);
+        for (i, (a, b)) in got.iter().zip(max_min_by_steps(&demands, capacity)).enumerate() {
             prop_assert!((a - b).abs() <= capacity / 500.0, "{i}: {a} {b}");
         }
-        let all: f64 = wants.iter().map(|w| w.amount).sum();
-        prop_assert!((got.iter().sum::<f64>() - all.min(capacity)).abs() < 1e-6, "nothing is kept back");
+        let demanded: f64 = demands.iter().map(|w| w.amount).sum();
+        prop_assert!((got.iter().sum::<f64>() - demanded.min(capacity)).abs() < 1e-6, "all of the capacity is shared");
     }
 
-    /// Whatever the others bring, in whatever order, a team within its own part of the room is taken in,
-    /// and no more than fits ever is.
+    /// A team within its reserved capacity is admitted whatever the others submit, in any order, and no more
+    /// tasks than fit are ever admitted.
     #[test]
-    fn room_is_left_for_every_team(
-        asks in proptest::collection::vec((0..4usize, 1..400u64), 1..80),
-        most in 400..2000u64,
+    fn every_team_has_its_reserved_capacity(
+        requests in proptest::collection::vec((0..4usize, 1..400u64), 1..80),
+        max_tasks in 400..2000u64,
     ) {
-        let room = TaskCapacity { max_tasks: most, teams: 4 };
+        let capacity = TaskCapacity { max_tasks, teams: 4 };
         let mut open = [0u64; 4];
-        for (team, more) in asks {
+        for (team, more) in requests {
             let all = open.iter().sum();
-            let takes = room.can_admit(all, open[team], more);
-            prop_assert!(takes || open[team] + more > room.reserved_per_team());
-            prop_assert!(takes || all > 0 || more > most - most / 4, "an empty room takes a large one");
-            if takes {
+            let admitted = capacity.can_admit(all, open[team], more);
+            prop_assert!(admitted || open[team] + more > capacity.reserved_per_team());
+            prop_assert!(admitted || all > 0 || more > max_tasks - max_tasks / 4, "without open tasks a large job is admitted");
+            if admitted {
                 open[team] += more;
             }
-            prop_assert!(open.iter().sum::<u64>() <= most);
+            prop_assert!(open.iter().sum::<u64>() <= max_tasks);
         }
     }
 
-    /// A team's classes are served in proportion to what it offers of them, and teams by their shares,
-    /// whatever ranks they have and whoever leads: at least half of it, but for a bound.
+    /// Teams are served by their shares, and the classes of a team in proportion to what it submits of each, for
+    /// all ranks and across a change of leader: at least half of that, less a bound.
     #[test]
     fn nobody_starves(
         streams in proptest::collection::vec((0..3u32, 1..6u64, 0..4u8), 2..6),
         steps in 300..700u64,
-        heir_at in 0..700u64,
+        successor_at in 0..700u64,
     ) {
         let streams: Vec<Stream> =
             streams.into_iter().map(|(team, every, rank)| Stream { team, every, rank }).collect();
-        let out = serve(&streams, steps, true, heir_at);
+        let out = serve(&streams, steps, true, successor_at);
         let offered = |t: u32| -> f64 {
-            let own = streams.iter().zip(&out).filter(|(s, _)| s.team == t);
+            let own = streams.iter().zip(&out).filter(|(stream, _)| stream.team == t);
             own.map(|(_, o)| o.0 as f64).sum()
         };
-        let wants: Vec<WeightedDemand> = (0..3).map(|t| WeightedDemand { amount: offered(t), weight: 1.0 }).collect();
-        let fair = weighted_max_min(&wants, steps as f64);
-        for (i, (of, served)) in out.iter().enumerate() {
+        let demands: Vec<WeightedDemand> = (0..3).map(|t| WeightedDemand { amount: offered(t), weight: 1.0 }).collect();
+        let fair = weighted_max_min(&demands, steps as f64);
+        for (i, (submitted, served)) in out.iter().enumerate() {
             let team = streams[i].team;
-            let share = fair[team as usize] * *of as f64 / offered(team).max(1.0);
+            let share = fair[team as usize] * *submitted as f64 / offered(team).max(1.0);
             prop_assert!(
-                *served as f64 + BOUND >= share / 2.0,
+                *served as f64 + MAX_JOBS_BEHIND >= share / 2.0,
                 "stream {i} of {streams:?}: {served} served, its share is {share:.0}"
             );
         }
-        // Nothing idles that somebody waits for.
-        let all: u64 = out.iter().map(|o| o.1).sum();
-        let most: u64 = out.iter().map(|o| o.0).sum();
-        prop_assert!(all == most || all + streams.len() as u64 >= steps.min(most));
+        // The server never idles while jobs wait.
+        let served: u64 = out.iter().map(|o| o.1).sum();
+        let submitted: u64 = out.iter().map(|o| o.0).sum();
+        prop_assert!(served == submitted || served + streams.len() as u64 >= steps.min(submitted));
     }
 }
 
 #[test]
-fn without_needs_somebody_does_starve() {
-    // The check above can fail: by rank alone the lower of two gets nothing for as long as the higher fills
-    // the server (found on a day of the large fleet: 46% of a class was served, all of another).
+fn order_by_rank_alone_starves_a_class() {
+    // Shows that the check of `nobody_starves` can fail: by rank alone, the lower of two classes gets nothing
+    // while the higher one fills the server. On a day of the large fleet, 46% of one class and all of another
+    // were served.
     let stream = |team, every, rank| Stream { team, every, rank };
     let classes = [stream(0, 1, 0), stream(0, 2, 1)];
     assert_eq!(serve(&classes, 600, false, 0)[1].1, 0);
     let out = serve(&classes, 600, true, 0);
-    assert!(out[1].1 as f64 + BOUND >= 200.0 && out[0].1 >= 300, "{out:?}");
-    // A team that floods has no claim to what another needs: that one is served nearly whole, though its
-    // rank is lower.
+    assert!(out[1].1 as f64 + MAX_JOBS_BEHIND >= 200.0 && out[0].1 >= 300, "{out:?}");
+    // A team that floods the queue cannot claim what another needs: most of the other's jobs are served,
+    // though their rank is lower.
     let teams = [stream(0, 1, 0), stream(0, 1, 0), stream(0, 1, 0), stream(1, 4, 1)];
     assert_eq!(serve(&teams, 600, false, 0)[3].1, 0);
     let out = serve(&teams, 600, true, 0);
@@ -311,53 +316,58 @@
 }
 
 #[test]
-fn who_is_in_need() {
-    // (done of late, late jobs; of class 0 in team 0, of class 0 in team 1, of class 1 in team 0; classes in
-    // need, teams in need)
-    type Side = (u64, u64);
-    let cases: [([Side; 3], [bool; 3], [bool; 2]); 9] = [
+fn deficits_of_classes_and_teams() {
+    // ((recently done, late) jobs of class 0 of team 0, class 0 of team 1, class 1 of team 0; which of those
+    // classes are underserved; which teams are underserved)
+    type DoneAndLate = (u64, u64);
+    let cases: [([DoneAndLate; 3], [bool; 3], [bool; 2]); 9] = [
         ([(0, 0), (0, 0), (0, 0)], [false, false, false], [false, false]),
         ([(50, 3), (50, 0), (50, 0)], [false, false, false], [false, false]),
-        // A class that starves in one team says nothing of the other's jobs.
+        // A class that starves in one team does not make it underserved in another.
         ([(5, 60), (50, 0), (50, 0)], [true, false, false], [true, false]),
         ([(5, 60), (5, 60), (50, 0)], [true, true, false], [true, true]),
         ([(5, 30), (200, 0), (5, 30)], [true, false, true], [true, false]),
-        // One late job alone starves nobody.
+        // A few late jobs don't make a class underserved.
         ([(8, 2), (0, 0), (0, 0)], [false, false, false], [false, false]),
-        // Nor do three late of five; three hundred of five hundred do, and none of six.
+        // Neither do three late of five; three hundred late of five hundred do, and six late with none done.
         ([(2, 3), (0, 0), (0, 0)], [false, false, false], [false, false]),
         ([(200, 300), (0, 0), (0, 0)], [true, false, false], [true, false]),
         ([(0, 6), (0, 0), (0, 0)], [true, false, false], [true, false]),
     ];
-    let pairs = [(Team(0), Class(0)), (Team(1), Class(0)), (Team(0), Class(1))];
-    for (i, (sides, classes, teams)) in cases.into_iter().enumerate() {
-        let mut s = FairnessLedger::default();
+    let team_classes = [(Team(0), Class(0)), (Team(1), Class(0)), (Team(0), Class(1))];
+    for (i, (counts, classes, teams)) in cases.into_iter().enumerate() {
+        let mut ledger = FairnessLedger::default();
         let mut job = 0;
-        for (pair, (done, late)) in pairs.iter().zip(sides) {
+        for (team_class, (done, late)) in team_classes.iter().zip(counts) {
             for n in 0..done + late {
                 job += 1;
-                s.job_opened(Job(job), *pair, 0, AIM);
+                ledger.job_opened(Job(job), *team_class, 0, TARGET_MS);
                 if n < done {
-                    s.job_done(Job(job));
+                    ledger.job_done(Job(job));
                 }
             }
         }
-        s.advance_time(AIM, 0, |_| false);
-        let want = TeamDemand { used_cpus: 10.0, waiting_cpus: 100.0, weight: 1.0 };
-        let claims = [0, 1, 9].map(|t| (Team(t), want)).into();
-        let needs = s.compute_deficits(&claims, 90.0);
-        assert_eq!(pairs.map(|p| needs.class_deficit(p).is_underserved()), classes, "case {i}");
-        assert_eq!([0, 1].map(|t| needs.is_team_underserved(Team(t))), teams, "case {i}");
+        ledger.advance_time(TARGET_MS, 0, |_| false);
+        let demand = TeamDemand { used_cpus: 10.0, waiting_cpus: 100.0, weight: 1.0 };
+        let demands = [0, 1, 9].map(|t| (Team(t), demand)).into();
+        let deficits = ledger.compute_deficits(&demands, 90.0);
+        assert_eq!(
+            team_classes.map(|p| deficits.class_deficit(p).is_underserved()),
+            classes,
+            "case {i}"
+        );
+        assert_eq!([0, 1].map(|t| deficits.is_team_underserved(Team(t))), teams, "case {i}");
         assert_eq!(
-            (needs.has_any(), s.has_underserved()),
+            (deficits.has_any(), ledger.has_underserved()),
             (classes.contains(&true), classes.contains(&true))
         );
-        // Whoever has no weight, or no claim, goes before nobody.
-        let guests = claims.keys().map(|t| (*t, TeamDemand { weight: 0.0, ..want })).collect();
-        assert!(!s.compute_deficits(&guests, 90.0).is_team_underserved(Team(0)));
-        assert!(!s.compute_deficits(&BTreeMap::new(), 90.0).is_team_underserved(Team(0)));
-        // Nor does whoever has its share.
-        assert!(!s.compute_deficits(&claims, 30.0).is_team_underserved(Team(0)));
+        // A team without a weight or without a demand does not go before others.
+        let without_guarantee =
+            demands.keys().map(|t| (*t, TeamDemand { weight: 0.0, ..demand })).collect();
+        assert!(!ledger.compute_deficits(&without_guarantee, 90.0).is_team_underserved(Team(0)));
+        assert!(!ledger.compute_deficits(&BTreeMap::new(), 90.0).is_team_underserved(Team(0)));
+        // Neither does a team that has its share.
+        assert!(!ledger.compute_deficits(&demands, 30.0).is_team_underserved(Team(0)));
     }
     assert!(
         DeficitLevel::from_share(0.1) < DeficitLevel::from_share(0.5)
@@ -366,10 +376,10 @@
 }
 
 #[test]
-fn losses_are_bounded_by_what_gets_done() {
-    let pair = (Team(0), Class(0));
-    // (done, lost, part, may more be lost)
-    for (done, lost, part, may) in [
+fn losses_are_bounded_by_completed_work() {
+    let team_class = (Team(0), Class(0));
+    // (completed CPU seconds, lost CPU seconds, maximum share, whether more may be lost)
+    for (completed, lost, max_share, expected) in [
         (0.0, 0.0, 0.02, true),
         (0.0, 1_900.0, 0.02, true),
         (0.0, 2_100.0, 0.02, false),
@@ -378,24 +388,28 @@
         (200_000.0, 5_000.0, 0.05, true),
         (f64::NAN, 2_100.0, 0.02, false),
     ] {
-        let mut s = FairnessLedger::default();
-        s.task_completed(pair, done);
-        s.task_preempted(pair, lost);
-        assert_eq!(s.can_lose_work(Class(0), part), may, "{done} {lost} {part}");
-        assert!(s.can_lose_work(Class(1), part), "another class lost nothing");
+        let mut ledger = FairnessLedger::default();
+        ledger.task_completed(team_class, completed);
+        ledger.task_preempted(team_class, lost);
+        assert_eq!(
+            ledger.can_lose_work(Class(0), max_share),
+            expected,
+            "{completed} {lost} {max_share}"
+        );
+        assert!(ledger.can_lose_work(Class(1), max_share), "another class lost nothing");
     }
 }
 
 #[test]
-fn what_fails_everywhere_is_nobodys_neglect() {
-    let mut s = FairnessLedger::default();
-    let pair = (Team(0), Class(0));
-    s.job_opened(Job(1), pair, 0, AIM);
-    s.advance_time(AIM, 5_000, |_| true);
-    assert_eq!(s.team_class(pair).map(|r| (r.open, r.late)), Some((1, 0)));
-    s.advance_time(AIM + 5_000, 5_000, |_| false);
-    assert_eq!(s.team_class(pair).map(|r| (r.open, r.late)), Some((1, 1)));
-    s.job_done(Job(1));
-    assert_eq!(s.team_class(pair).map(|r| (r.open, r.late, r.done)), Some((0, 0, 1)));
-    assert!(s.slowdown(Class(0), 0.5).is_some_and(|x| (x - 1.25).abs() < 0.05));
+fn excused_jobs_are_not_late() {
+    let mut ledger = FairnessLedger::default();
+    let team_class = (Team(0), Class(0));
+    ledger.job_opened(Job(1), team_class, 0, TARGET_MS);
+    ledger.advance_time(TARGET_MS, 5_000, |_| true);
+    assert_eq!(ledger.team_class(team_class).map(|r| (r.open, r.late)), Some((1, 0)));
+    ledger.advance_time(TARGET_MS + 5_000, 5_000, |_| false);
+    assert_eq!(ledger.team_class(team_class).map(|r| (r.open, r.late)), Some((1, 1)));
+    ledger.job_done(Job(1));
+    assert_eq!(ledger.team_class(team_class).map(|r| (r.open, r.late, r.done)), Some((0, 0, 1)));
+    assert!(ledger.slowdown(Class(0), 0.5).is_some_and(|x| (x - 1.25).abs() < 0.05));
 }
