--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,6 +1,6 @@
-//! copperhaven's controller: one leads, admits, routes and runs jobs on rented machines; the others
-//! answer for it and take over. What it decides is in `copperhaven-core`; here it meets sockets,
-//! clocks and the state service.
+//! The copperhaven controller. One controller leads: it admits jobs, routes them and runs them on
+//! rented machines. The others forward requests to it and take over when it fails. The decisions are
+//! made in `copperhaven-core`; this crate connects them to sockets, clocks and the state service.
 
 pub mod api;
 pub mod cli;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: reads the settings and wires the parts together.
+//! The `copperhaven` command: parses arguments, reads the settings and starts the controller.
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use copperhaven::{api, cli, leadership, node::Node, peers};
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Names the operators' settings where no flag does.
+/// Environment variable with the path of the operators' settings file, used without `--tuning`.
 const TUNING: &str = "COPPERHAVEN_TUNING";
 
 /// A cluster scheduler. `copperhaven --config FILE` is short for `copperhaven serve --config FILE`.
@@ -79,6 +79,7 @@
     Json,
 }
 
+/// Sets up logging to standard error at the level of LOG_LEVEL (default: info).
 fn log_to_stderr(format: LogFormat) {
     let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok());
     let log = tracing_subscriber::fmt()
@@ -108,18 +109,19 @@
 
 fn check(files: &Files) -> Result<(), ExitCode> {
     let settings = load(files)?;
-    if let Some(remark) = settings.warnings() {
-        println!("{remark}");
+    if let Some(warning) = settings.warnings() {
+        println!("{warning}");
     }
     println!("settings of {} are valid", settings.member);
     Ok(())
 }
 
 fn job(id: &str, server: &str, cancel: bool) -> Result<(), ExitCode> {
-    show(runtime()?.block_on(cli::job_command(id, server, cancel)))
+    print_outcome(runtime()?.block_on(cli::job_command(id, server, cancel)))
 }
 
-fn show((text, code): (String, u8)) -> Result<(), ExitCode> {
+/// Prints the text of a command to standard output, or to standard error if the command failed.
+fn print_outcome((text, code): (String, u8)) -> Result<(), ExitCode> {
     if code == cli::EXIT_OK {
         println!("{text}");
         return Ok(());
@@ -130,26 +132,26 @@
 
 fn stages(files: &Files) -> Result<(), ExitCode> {
     let settings = load(files)?;
-    show(runtime()?.block_on(cli::stages_command(&settings)))
+    print_outcome(runtime()?.block_on(cli::stages_command(&settings)))
 }
 
-/// Runs a controller, for as long as nothing is wrong.
+/// Runs a controller. Returns only on failure: invalid settings, or one of its parts has ended.
 fn serve(files: &Files, format: LogFormat) -> Result<(), ExitCode> {
     log_to_stderr(format);
     let settings = load(files)?;
-    if let Some(remark) = settings.warnings() {
-        tracing::warn!("{remark}");
+    if let Some(warning) = settings.warnings() {
+        tracing::warn!("{warning}");
     }
     let runtime = runtime()?;
     let node = Arc::new(Node::new(settings));
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         tokio::select! {
             r = api::run(node.clone()) => r.map_err(|e| e.to_string()),
             r = peers::run(node.clone()) => r.map_err(|e| e.to_string()),
             () = leadership::run(node.clone()) => Ok(()),
         }
     });
-    if let Err(e) = ended {
+    if let Err(e) = result {
         eprintln!("copperhaven: {e}");
     }
     Err(ExitCode::FAILURE)
@@ -158,13 +160,13 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     if args.command.is_some() && (args.config.is_some() || args.tuning.is_some() || args.check) {
-        let why = "--config, --tuning and --check go behind the subcommand, or without one";
-        Args::command().error(clap::error::ErrorKind::ArgumentConflict, why).exit();
+        let message = "--config, --tuning and --check go behind the subcommand, or without one";
+        Args::command().error(clap::error::ErrorKind::ArgumentConflict, message).exit();
     }
-    // As the subcommands do it.
+    // Without a subcommand, the environment variable applies as it does with one.
     let tuning = || args.tuning.clone().or_else(|| std::env::var_os(TUNING).map(PathBuf::from));
     let files = args.config.clone().map(|config| Files { config, tuning: tuning() });
-    let done = match (&args.command, &files) {
+    let result = match (&args.command, &files) {
         (Some(Command::Serve(files)), _) => serve(files, args.log_format),
         (Some(Command::Check(files)), _) => check(files),
         (Some(Command::Job { id, action, server }), _) => {
@@ -180,5 +182,5 @@
         (None, Some(files)) => serve(files, args.log_format),
         (None, None) => Err(ExitCode::from(cli::EXIT_USAGE)),
     };
-    done.err().unwrap_or(ExitCode::SUCCESS)
+    result.err().unwrap_or(ExitCode::SUCCESS)
 }
--- a/crates/controller/src/net.rs
+++ b/crates/controller/src/net.rs
@@ -1,5 +1,5 @@
-//! Where the controller meets the network: connections that it makes. In service they are TCP; tests of
-//! several controllers in one process give it a network of their own, whose links can be cut one by one.
+//! Outgoing connections of the controller. In production they are TCP connections. Tests that run several
+//! controllers in one process provide a simulated network, whose links can be cut one by one.
 
 use std::future::Future;
 use std::io;
@@ -9,23 +9,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection on its way.
+/// A connection attempt.
 pub type DialFuture = Pin<Box<dyn Future<Output = io::Result<DuplexStream>> + Send>>;
 
-/// A network other than the machine's.
+/// A simulated network that replaces TCP.
 pub trait Dial: Send + Sync {
+    /// Opens a connection to an address.
     fn dial(&self, addr: &str) -> DialFuture;
 }
 
-/// How connections are made.
+/// The network through which connections are opened.
 #[derive(Clone, Default)]
 pub enum Net {
+    /// TCP of the operating system.
     #[default]
     Tcp,
+    /// A simulated network.
     Custom(Arc<dyn Dial>),
 }
 
 impl Net {
+    /// Opens a connection to an address.
     pub async fn connect(&self, addr: &str) -> io::Result<Stream> {
         match self {
             Net::Tcp => {
@@ -33,14 +37,16 @@
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
             }
-            Net::Custom(net) => net.dial(addr).await.map(Stream::Other),
+            Net::Custom(network) => network.dial(addr).await.map(Stream::Other),
         }
     }
 }
 
-/// A connection.
+/// An open connection.
 pub enum Stream {
+    /// A TCP connection.
     Tcp(TcpStream),
+    /// A connection in a simulated network.
     Other(DuplexStream),
 }
 
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,4 +1,4 @@
-//! The state service by its protocol: reads, transactions, leases.
+//! Client of the state service: reads, transactions and leases.
 
 use crate::http::{CallError, Client, HttpResponse};
 use crate::net::Net;
@@ -9,37 +9,46 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
+/// Error of a read or a lease call to the state service.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
+    /// The service answered with this unexpected HTTP status.
     #[error("state service refuses: status {0}")]
     Status(u16),
+    /// The call got no response.
     #[error("state service: {0}")]
     Call(#[from] CallError),
+    /// The body of the response could not be decoded.
     #[error("state service: malformed answer")]
     Malformed,
-    /// The service answered; what stands under the key is not what this version writes there.
+    /// The service answered, but the value is not what this release writes under the key.
     #[error(
         "the record {key} (version {stamp}) can't be read: mend it or have the version that wrote it lead"
     )]
-    Unreadable { key: String, stamp: u64 },
+    Unreadable {
+        /// The key of the record.
+        key: String,
+        /// The revision of the record.
+        stamp: u64,
+    },
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Applied, at this revision.
+    /// Applied at this revision.
     Applied(u64),
-    /// A condition failed; these keys have other versions.
+    /// A condition failed: these keys have other revisions than expected.
     Conflict(Vec<String>),
-    /// The lease of a put has run out.
+    /// The lease of a put has expired.
     LeaseExpired,
-    /// Surely not executed.
+    /// Certainly not executed: the service is unavailable or the request was not sent.
     Unavailable,
-    /// Called malformed, or larger than the service takes: it will never be executed as it is.
+    /// Rejected as malformed or too large; a retry without changes can never succeed.
     Malformed,
-    /// Not executed: more changes in a second than the service takes.
+    /// Not executed: the service's limit of changes per second is exceeded.
     RateLimited,
-    /// Perhaps executed, perhaps later.
+    /// Unknown: the transaction may have been executed, or may still be.
     Unknown,
 }
 
@@ -47,20 +56,24 @@
 struct Item<T> {
     #[serde(default)]
     path: String,
-    v: T,
-    stamp: u64,
+    #[serde(rename = "v")]
+    value: T,
+    #[serde(rename = "stamp")]
+    revision: u64,
     #[serde(default)]
-    charter: Option<u64>,
+    #[serde(rename = "charter")]
+    lease_id: Option<u64>,
 }
 
 #[derive(Deserialize)]
 struct Page<T> {
-    pairs: Vec<Item<T>>,
+    #[serde(rename = "pairs")]
+    items: Vec<Item<T>>,
     #[serde(default)]
     more: bool,
 }
 
-/// A value of the expected kind, or any other.
+/// A value of the expected type (`Good`), or anything else (`Bad`).
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Lenient<T> {
@@ -69,128 +82,135 @@
 }
 
 impl<T: DeserializeOwned> Page<Lenient<T>> {
-    /// Mostly all values are sound, and reading them leniently takes twice as long.
-    fn read(body: &[u8]) -> Option<Self> {
-        if let Ok(Page { pairs, more }) = rmp_serde::from_slice::<Page<T>>(body) {
+    /// Decodes a page. Tries the strict form first: usually every value is valid, and lenient decoding
+    /// takes twice as long.
+    fn decode(body: &[u8]) -> Option<Self> {
+        if let Ok(Page { items, more }) = rmp_serde::from_slice::<Page<T>>(body) {
             let good = |i: Item<T>| Item {
                 path: i.path,
-                v: Lenient::Good(i.v),
-                stamp: i.stamp,
-                charter: i.charter,
+                value: Lenient::Good(i.value),
+                revision: i.revision,
+                lease_id: i.lease_id,
             };
-            return Some(Page { pairs: pairs.into_iter().map(good).collect(), more });
+            return Some(Page { items: items.into_iter().map(good).collect(), more });
         }
         rmp_serde::from_slice(body).ok()
     }
 }
 
-/// The keys with a prefix: path, value, version; and path and version of those that can't be read.
+/// All records under a prefix.
 #[derive(Debug)]
 pub struct Listing<T> {
+    /// Path, value and revision of each record.
     pub rows: Vec<(String, T, u64)>,
+    /// Path and revision of each record whose value can't be decoded.
     pub unreadable: Vec<(String, u64)>,
 }
 
+/// Client of the state service.
 pub struct Store {
     http: Client,
     addr: String,
 }
 
-/// Pairs of a page, as many as the service gives; it may give fewer.
-const PAGE: usize = 1000;
+/// Items requested per page, the maximum of the state service; it may return fewer.
+const PAGE_LIMIT: usize = 1000;
 
-const READ: Duration = Duration::from_millis(1500);
-const COMMIT: Duration = Duration::from_millis(1500);
+/// Time limit of reads, and of calls that grant or revoke a lease.
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time limit of a transaction.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Store {
+    /// Returns a client of the state service at `addr` that keeps up to six idle connections.
     pub fn new(net: Net, addr: String) -> Store {
         Store { http: Client::with_net(net, 6), addr }
     }
 
-    fn decode<T: DeserializeOwned>(answer: &HttpResponse) -> Result<T, StoreError> {
-        answer.decode().ok_or(StoreError::Malformed)
+    fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StoreError> {
+        response.decode().ok_or(StoreError::Malformed)
     }
 
-    /// A key's value and version; none if it does not exist.
+    /// Reads a key: its value and revision, or `None` if it does not exist.
     pub async fn get<T: DeserializeOwned>(
         &self,
         key: &str,
     ) -> Result<Option<(T, u64)>, StoreError> {
-        Ok(self.get_with_lease(key).await?.map(|(v, stamp, _)| (v, stamp)))
+        Ok(self.get_with_lease(key).await?.map(|(value, revision, _)| (value, revision)))
     }
 
-    /// A key's value and version, and the lease that it hangs on.
+    /// Reads a key: its value, its revision and the id of the lease that it is bound to, if any.
     pub async fn get_with_lease<T: DeserializeOwned>(
         &self,
         key: &str,
     ) -> Result<Option<(T, u64, Option<u64>)>, StoreError> {
-        let answer = self.http.get(&self.addr, &format!("/store/{key}"), READ).await?;
-        match answer.status {
+        let response = self.http.get(&self.addr, &format!("/store/{key}"), READ_TIMEOUT).await?;
+        match response.status {
             200 => {
-                if let Ok(item) = rmp_serde::from_slice::<Item<T>>(&answer.body) {
-                    return Ok(Some((item.v, item.stamp, item.charter)));
+                if let Ok(item) = rmp_serde::from_slice::<Item<T>>(&response.body) {
+                    return Ok(Some((item.value, item.revision, item.lease_id)));
                 }
-                let item: Item<IgnoredAny> = Self::decode(&answer)?;
-                Err(StoreError::Unreadable { key: key.into(), stamp: item.stamp })
+                let item: Item<IgnoredAny> = Self::decode(&response)?;
+                Err(StoreError::Unreadable { key: key.into(), stamp: item.revision })
             }
             404 => Ok(None),
             s => Err(StoreError::Status(s)),
         }
     }
 
-    /// The first values with the prefix that can be read.
+    /// Reads the first `limit` records under a prefix and returns the values that can be decoded.
     pub async fn first_values<T: DeserializeOwned>(
         &self,
         prefix: &str,
         limit: usize,
     ) -> Result<Vec<T>, StoreError> {
         let path = format!("/store?prefix={prefix}&limit={limit}");
-        let answer = self.http.get(&self.addr, &path, READ).await?;
-        if answer.status != 200 {
-            return Err(StoreError::Status(answer.status));
+        let response = self.http.get(&self.addr, &path, READ_TIMEOUT).await?;
+        if response.status != 200 {
+            return Err(StoreError::Status(response.status));
         }
-        let page = Page::read(&answer.body).ok_or(StoreError::Malformed)?;
-        let good = |i: Item<Lenient<T>>| match i.v {
-            Lenient::Good(v) => Some(v),
+        let page = Page::decode(&response.body).ok_or(StoreError::Malformed)?;
+        let good = |i: Item<Lenient<T>>| match i.value {
+            Lenient::Good(value) => Some(value),
             Lenient::Bad(_) => None,
         };
-        Ok(page.pairs.into_iter().filter_map(good).collect())
+        Ok(page.items.into_iter().filter_map(good).collect())
     }
 
-    /// A page of the keys with the prefix, beginning after one, and whether there are more.
+    /// Reads one page of the keys under a prefix, after the key `since`; and whether there are more.
     pub async fn list_keys(
         &self,
         prefix: &str,
         since: Option<&str>,
     ) -> Result<(Vec<String>, bool), StoreError> {
         let since = since.map(|p| format!("&since={p}")).unwrap_or_default();
-        let path = format!("/store?prefix={prefix}{since}&limit={PAGE}");
-        let answer = self.http.get(&self.addr, &path, READ).await?;
-        if answer.status != 200 {
-            return Err(StoreError::Status(answer.status));
+        let path = format!("/store?prefix={prefix}{since}&limit={PAGE_LIMIT}");
+        let response = self.http.get(&self.addr, &path, READ_TIMEOUT).await?;
+        if response.status != 200 {
+            return Err(StoreError::Status(response.status));
         }
-        let page: Page<IgnoredAny> = Self::decode(&answer)?;
-        Ok((page.pairs.into_iter().map(|i| i.path).collect(), page.more))
+        let page: Page<IgnoredAny> = Self::decode(&response)?;
+        Ok((page.items.into_iter().map(|i| i.path).collect(), page.more))
     }
 
-    /// Every key with the prefix. One that can't be read keeps none of the others from being read.
+    /// Reads all records under a prefix. A record that can't be decoded doesn't affect the others.
     pub async fn list<T: DeserializeOwned>(&self, prefix: &str) -> Result<Listing<T>, StoreError> {
         let mut out = Listing { rows: vec![], unreadable: vec![] };
         let mut last: Option<String> = None;
         loop {
             let since = last.map(|p| format!("&since={p}")).unwrap_or_default();
-            let path = format!("/store?prefix={prefix}{since}&limit={PAGE}");
-            let answer = self.http.get(&self.addr, &path, READ).await?;
-            if answer.status != 200 {
-                return Err(StoreError::Status(answer.status));
+            let path = format!("/store?prefix={prefix}{since}&limit={PAGE_LIMIT}");
+            let response = self.http.get(&self.addr, &path, READ_TIMEOUT).await?;
+            if response.status != 200 {
+                return Err(StoreError::Status(response.status));
             }
-            let page = Page::read(&answer.body).ok_or(StoreError::Malformed)?;
-            last = page.pairs.last().map(|i| i.path.clone());
+            let page = Page::decode(&response.body).ok_or(StoreError::Malformed)?;
+            last = page.items.last().map(|i| i.path.clone());
             let end = !page.more || last.is_none();
-            for Item { path, v, stamp, .. } in page.pairs {
-                match v {
-                    Lenient::Good(v) => out.rows.push((path, v, stamp)),
-                    Lenient::Bad(_) => out.unreadable.push((path, stamp)),
+            for Item { path, value, revision, .. } in page.items {
+                match value {
+                    Lenient::Good(value) => out.rows.push((path, value, revision)),
+                    Lenient::Bad(_) => out.unreadable.push((path, revision)),
                 }
             }
             if end {
@@ -199,6 +219,7 @@
         }
     }
 
+    /// Applies the changes in one transaction if all conditions hold.
     pub async fn commit(&self, when: &[Condition], apply: &[Change]) -> CommitOutcome {
         #[derive(Serialize)]
         struct Body<'a> {
@@ -206,29 +227,33 @@
             apply: &'a [Change],
         }
         #[derive(Deserialize)]
-        struct Rev {
+        struct Applied {
             #[serde(rename = "ledgerRev")]
-            rev: u64,
+            revision: u64,
         }
         #[derive(Deserialize)]
         struct Failed {
-            failed: Vec<String>,
+            #[serde(rename = "failed")]
+            failed_keys: Vec<String>,
         }
         let body = encode(&Body { when, apply });
-        match self.http.call(Method::POST, &self.addr, "/commit", Some(body), COMMIT).await {
+        match self.http.call(Method::POST, &self.addr, "/commit", Some(body), COMMIT_TIMEOUT).await
+        {
             Ok(a) => match a.status {
                 200 => a
-                    .decode::<Rev>()
-                    .map_or(CommitOutcome::Unknown, |r| CommitOutcome::Applied(r.rev)),
+                    .decode::<Applied>()
+                    .map_or(CommitOutcome::Unknown, |a| CommitOutcome::Applied(a.revision)),
                 409 => a
                     .decode::<Failed>()
-                    .map_or(CommitOutcome::Unknown, |f| CommitOutcome::Conflict(f.failed)),
+                    .map_or(CommitOutcome::Unknown, |f| CommitOutcome::Conflict(f.failed_keys)),
                 400 => {
                     let text = String::from_utf8_lossy(&a.body);
                     if text.contains("no such lease") {
                         CommitOutcome::LeaseExpired
                     } else {
-                        tracing::error!("state service calls a transaction malformed: {text}");
+                        tracing::error!(
+                            "state service rejected a transaction as malformed: {text}"
+                        );
                         CommitOutcome::Malformed
                     }
                 }
@@ -241,6 +266,7 @@
         }
     }
 
+    /// Creates a lease with a time to live of `ttl_ms` milliseconds and returns its id.
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64, StoreError> {
         #[derive(Serialize)]
         #[serde(rename_all = "camelCase")]
@@ -249,30 +275,33 @@
         }
         #[derive(Deserialize)]
         struct Granted {
-            charter: u64,
+            #[serde(rename = "charter")]
+            lease_id: u64,
         }
-        let answer = self.http.post(&self.addr, "/leases", &Body { ttl_ms }, READ).await?;
-        match answer.status {
-            200 | 201 => Ok(Self::decode::<Granted>(&answer)?.charter),
+        let response =
+            self.http.post(&self.addr, "/leases", &Body { ttl_ms }, READ_TIMEOUT).await?;
+        match response.status {
+            200 | 201 => Ok(Self::decode::<Granted>(&response)?.lease_id),
             s => Err(StoreError::Status(s)),
         }
     }
 
-    /// Renews a lease; false if it is no more.
-    pub async fn renew_lease(&self, id: u64, limit: Duration) -> Result<bool, StoreError> {
+    /// Renews a lease within `time_limit`. Returns false if the lease no longer exists.
+    pub async fn renew_lease(&self, id: u64, time_limit: Duration) -> Result<bool, StoreError> {
         let path = format!("/leases/{id}/extend");
-        let none = std::collections::BTreeMap::<String, u64>::new();
-        let answer = self.http.post(&self.addr, &path, &none, limit).await?;
-        match answer.status {
+        let empty = std::collections::BTreeMap::<String, u64>::new();
+        let response = self.http.post(&self.addr, &path, &empty, time_limit).await?;
+        match response.status {
             200 => Ok(true),
             404 => Ok(false),
             s => Err(StoreError::Status(s)),
         }
     }
 
+    /// Revokes a lease. Errors are ignored: the lease then expires by itself.
     pub async fn revoke_lease(&self, id: u64) {
         let path = format!("/leases/{id}");
-        let _ = self.http.call(Method::DELETE, &self.addr, &path, None, READ).await;
+        let _ = self.http.call(Method::DELETE, &self.addr, &path, None, READ_TIMEOUT).await;
     }
 }
 
@@ -283,7 +312,7 @@
     use copperhaven_core::records::{DoneTasksRecord, FinalRecord, JobRecord, MachineRecord};
     use std::collections::BTreeMap;
 
-    /// A page with one record of another kind, or with something else under its key.
+    /// Encodes a page of the given paths and values.
     fn page(values: &[(&str, serde_json::Value)]) -> Vec<u8> {
         let item = |(n, (path, v)): (usize, &(&str, serde_json::Value))| serde_json::json!({"path": path, "v": v, "stamp": n});
         let pairs: Vec<_> = values.iter().enumerate().map(item).collect();
@@ -294,25 +323,25 @@
         ]))
     }
 
-    fn bad<T: DeserializeOwned>(body: &[u8]) -> (usize, Vec<String>, bool) {
-        let page = Page::<Lenient<T>>::read(body).expect("a page");
-        let good = page.pairs.iter().filter(|i| matches!(i.v, Lenient::Good(_))).count();
-        let bad = page.pairs.into_iter().filter(|i| matches!(i.v, Lenient::Bad(_)));
+    /// Decodes a page: the number of readable records, the paths of the unreadable ones, and `more`.
+    fn decode_page<T: DeserializeOwned>(body: &[u8]) -> (usize, Vec<String>, bool) {
+        let page = Page::<Lenient<T>>::decode(body).expect("a page");
+        let good = page.items.iter().filter(|i| matches!(i.value, Lenient::Good(_))).count();
+        let bad = page.items.into_iter().filter(|i| matches!(i.value, Lenient::Bad(_)));
         (good, bad.map(|i| i.path).collect(), page.more)
     }
 
     #[test]
-    fn one_record_that_can_t_be_read_keeps_none_of_the_others_from_it() {
-        // Found when the takeover was looked through: one bad value failed the whole page, and with it
-        // every takeover, for ever.
-        let sound = [
+    fn an_unreadable_record_does_not_affect_the_others_of_its_page() {
+        // A single bad value used to fail the whole page, and with it every takeover from then on.
+        let valid = [
             serde_json::json!({"r": [0, 3]}),
             serde_json::json!({"done": true, "tasks": 3}),
             serde_json::json!({"on": ["wk-1"]}),
             serde_json::json!({"berth": "b", "yard": "y", "spot": true, "number": 3}),
             serde_json::json!({"addr": "a", "berth": "b", "yard": "y", "spot": true, "shift": 1, "on": []}),
         ];
-        let wrong = [
+        let invalid = [
             serde_json::json!(null),
             serde_json::json!(7),
             serde_json::json!("text"),
@@ -320,26 +349,30 @@
             serde_json::json!({}),
             serde_json::json!({"r": "x", "done": 1, "on": 3, "number": -1, "job": {}}),
         ];
-        for wrong in wrong {
+        for invalid in invalid {
             let all = |i: usize| {
                 page(&[
-                    ("x/1", sound[i].clone()),
-                    ("x/2", wrong.clone()),
-                    ("x/3", sound[i].clone()),
+                    ("x/1", valid[i].clone()),
+                    ("x/2", invalid.clone()),
+                    ("x/3", valid[i].clone()),
                 ])
             };
             let expect = (2, vec!["x/2".to_string()], true);
-            assert_eq!(bad::<DoneTasksRecord>(&all(0)), expect, "{wrong}");
-            assert_eq!(bad::<FinalRecord>(&all(1)), expect, "{wrong}");
-            assert_eq!(bad::<DependenciesRecord>(&all(2)), expect, "{wrong}");
-            assert_eq!(bad::<RentalRecord>(&all(3)), expect, "{wrong}");
-            assert_eq!(bad::<MachineRecord>(&all(4)), expect, "{wrong}");
-            let jobs = page(&[("j/wk-1", wrong.clone())]);
-            assert_eq!(bad::<JobRecord>(&jobs), (0, vec!["j/wk-1".to_string()], true), "{wrong}");
+            assert_eq!(decode_page::<DoneTasksRecord>(&all(0)), expect, "{invalid}");
+            assert_eq!(decode_page::<FinalRecord>(&all(1)), expect, "{invalid}");
+            assert_eq!(decode_page::<DependenciesRecord>(&all(2)), expect, "{invalid}");
+            assert_eq!(decode_page::<RentalRecord>(&all(3)), expect, "{invalid}");
+            assert_eq!(decode_page::<MachineRecord>(&all(4)), expect, "{invalid}");
+            let jobs = page(&[("j/wk-1", invalid.clone())]);
+            assert_eq!(
+                decode_page::<JobRecord>(&jobs),
+                (0, vec!["j/wk-1".to_string()], true),
+                "{invalid}"
+            );
         }
         assert!(
-            Page::<Lenient<DoneTasksRecord>>::read(b"\x93\x01").is_none(),
-            "a torn answer is none"
+            Page::<Lenient<DoneTasksRecord>>::decode(b"\x93\x01").is_none(),
+            "a truncated page must not decode"
         );
     }
 }
