--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -1,4 +1,4 @@
-//! The door for users, workers and health checks.
+//! HTTP API for users, workers and health checks.
 
 use crate::cluster::frames::Op;
 use crate::listen::{BIND_TIMEOUT, ListenError, listen};
@@ -16,8 +16,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-const BODY_LIMIT: Duration = Duration::from_secs(10);
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+/// Time limit for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 fn respond(reply: Reply) -> Response {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
@@ -31,14 +33,15 @@
     r.body(reply.body)
 }
 
-async fn read(body: Body) -> Option<Vec<u8>> {
-    let body = tokio::time::timeout(BODY_LIMIT, body.into_bytes_limit(MAX_BODY_BYTES));
+/// Reads a body; `None` if it is too long, too slow or incomplete.
+async fn read_body(body: Body) -> Option<Vec<u8>> {
+    let body = tokio::time::timeout(BODY_TIMEOUT, body.into_bytes_limit(MAX_BODY_BYTES));
     body.await.ok()?.ok().map(|b| b.to_vec())
 }
 
 #[handler]
 async fn submit(node: Data<&Arc<Node>>, body: Body) -> Response {
-    respond(match read(body).await {
+    respond(match read_body(body).await {
         Some(body) => node.handle_request(Op::Submit, &body).await,
         None => Reply::error(400, "the body is longer than 64 KiB or broke off"),
     })
@@ -56,7 +59,7 @@
 
 #[handler]
 async fn report(node: Data<&Arc<Node>>, body: Body) -> Response {
-    respond(match read(body).await {
+    respond(match read_body(body).await {
         Some(body) => node.handle_request(Op::Report, &body).await,
         None => Reply::error(400, "the body is longer than 64 KiB or broke off"),
     })
@@ -71,19 +74,20 @@
     }
 }
 
-/// A listener that holds at most so many connections; one more is closed at once, which tells
-/// the load balancer to try another node.
-struct Bounded {
+/// An acceptor with a limit of open connections. One above the limit is closed at once, which
+/// tells the load balancer to try another controller.
+struct LimitedAcceptor {
     inner: TcpAcceptor,
     slots: Arc<Semaphore>,
 }
 
-struct Held<S> {
+/// A connection that occupies a slot of the limit until it is dropped.
+struct LimitedStream<S> {
     io: S,
     _slot: OwnedSemaphorePermit,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Held<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for LimitedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -93,7 +97,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Held<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for LimitedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -119,8 +123,8 @@
     }
 }
 
-impl Acceptor for Bounded {
-    type Io = Held<tokio::net::TcpStream>;
+impl Acceptor for LimitedAcceptor {
+    type Io = LimitedStream<tokio::net::TcpStream>;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         self.inner.local_addr()
@@ -133,22 +137,24 @@
             let (io, local, remote, scheme) = self.inner.accept().await?;
             if let Ok(slot) = self.slots.clone().try_acquire_owned() {
                 let _ = io.set_nodelay(true);
-                return Ok((Held { io, _slot: slot }, local, remote, scheme));
+                return Ok((LimitedStream { io, _slot: slot }, local, remote, scheme));
             }
         }
     }
 }
 
-/// Why the doors are not open (any more).
+/// Error that keeps the API from being served.
 #[derive(Debug, thiserror::Error)]
-pub enum DoorError {
+pub enum ApiError {
+    /// The address can't be bound.
     #[error(transparent)]
     Listen(#[from] ListenError),
+    /// The server failed.
     #[error("serving users: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// What is served at the door, whatever the connections.
+/// Returns the routes of the API, independent of how connections are accepted.
 pub fn routes(node: Arc<Node>) -> impl Endpoint<Output = Response> {
     Route::new()
         .at("/api/jobs", post(submit))
@@ -160,14 +166,15 @@
         .map_to_response()
 }
 
-pub async fn run(node: Arc<Node>) -> Result<(), DoorError> {
-    let inner = listen(&node.settings.api_listen, "front", BIND_TIMEOUT).await?;
-    let inner = TcpAcceptor::from_tokio(inner)?;
-    // Some sockets are left for the state service, the cloud, the workers and the peers.
-    let most = node.settings.deployment.limits.max_connections;
-    let slots = Arc::new(Semaphore::new((most * 3 / 4).max(1)));
-    Server::new_with_acceptor(Bounded { inner, slots })
-        .idle_timeout(IDLE_LIMIT)
+/// Serves the API on the configured address until the server fails.
+pub async fn run(node: Arc<Node>) -> Result<(), ApiError> {
+    let listener = listen(&node.settings.api_listen, "front", BIND_TIMEOUT).await?;
+    let inner = TcpAcceptor::from_tokio(listener)?;
+    // A quarter of the sockets is left for the state service, the cloud, the workers and the peers.
+    let max_connections = node.settings.deployment.limits.max_connections;
+    let slots = Arc::new(Semaphore::new((max_connections * 3 / 4).max(1)));
+    Server::new_with_acceptor(LimitedAcceptor { inner, slots })
+        .idle_timeout(IDLE_TIMEOUT)
         .run(routes(node))
         .await?;
     Ok(())
--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -1,4 +1,4 @@
-//! The commands that ask: what a job does and why it waits; how far changes of the stored state are.
+//! The subcommands that query a running installation: `job` and `stages`.
 
 use crate::http::Client;
 use crate::net::Net;
@@ -15,56 +15,69 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Exit codes: what was asked for was done, bad arguments, unknown job, no (usable) answer.
+/// Exit code: the command succeeded.
 pub const EXIT_OK: u8 = 0;
+/// Exit code: invalid arguments or settings.
 pub const EXIT_USAGE: u8 = 2;
-pub const UNKNOWN: u8 = 3;
-pub const NO_ANSWER: u8 = 4;
+/// Exit code: unknown job.
+pub const EXIT_UNKNOWN_JOB: u8 = 3;
+/// Exit code: no answer, or none that can be used.
+pub const EXIT_NO_ANSWER: u8 = 4;
 
-/// How far each change of the stored state is, who has recorded that it can, and what comes next; read at the
-/// state service that the settings name.
+/// Reads the stages from the state service that the settings name. Returns the stage of each ability, what
+/// each member has recorded and the next transition, as text for the user, and the exit code.
 pub async fn stages_command(settings: &Settings) -> (String, u8) {
     let state = &settings.endpoints.state;
     match read_stages(&Store::new(Net::Tcp, state.clone())).await {
-        Ok((stages, cans)) => (told(settings, &stages, &cans), EXIT_OK),
-        Err(e) => (format!("no answer from {state} (setting `endpoints.state`): {e}"), NO_ANSWER),
+        Ok((stages, abilities)) => (format_stages(settings, &stages, &abilities), EXIT_OK),
+        Err(e) => {
+            (format!("no answer from {state} (setting `endpoints.state`): {e}"), EXIT_NO_ANSWER)
+        }
     }
 }
 
-type Cans = BTreeMap<String, AbilitiesRecord>;
+/// Recorded abilities, by member.
+type AbilitiesByMember = BTreeMap<String, AbilitiesRecord>;
 
-async fn read_stages(store: &Store) -> Result<(StagesRecord, Cans), StoreError> {
+async fn read_stages(store: &Store) -> Result<(StagesRecord, AbilitiesByMember), StoreError> {
     let stages = store.get::<StagesRecord>(STAGES_KEY).await?.map(|(s, _)| s).unwrap_or_default();
-    let cans = store.list::<AbilitiesRecord>(ABILITIES_PREFIX).await?.rows.into_iter();
+    let records = store.list::<AbilitiesRecord>(ABILITIES_PREFIX).await?.rows.into_iter();
     Ok((
         stages,
-        cans.map(|(path, can, _)| (path.trim_start_matches(ABILITIES_PREFIX).into(), can))
+        records
+            .map(|(path, abilities, _)| {
+                (path.trim_start_matches(ABILITIES_PREFIX).into(), abilities)
+            })
             .collect(),
     ))
 }
 
-fn told(settings: &Settings, stages: &StagesRecord, cans: &Cans) -> String {
+fn format_stages(
+    settings: &Settings,
+    stages: &StagesRecord,
+    recorded: &AbilitiesByMember,
+) -> String {
     let members: Vec<String> = settings.member_names().map(String::from).collect();
     let mut out = String::new();
-    for m in &members {
-        let can = cans.get(m).map_or("nothing recorded".into(), |c| {
-            let can: Vec<&str> = c.abilities.iter().map(String::as_str).collect();
-            format!("release {}, can {}", c.release, can.join(", "))
+    for member in &members {
+        let text = recorded.get(member).map_or("nothing recorded".into(), |r| {
+            let abilities: Vec<&str> = r.abilities.iter().map(String::as_str).collect();
+            format!("release {}, can {}", r.release, abilities.join(", "))
         });
-        let _ = writeln!(out, "{m}: {can}");
+        let _ = writeln!(out, "{member}: {text}");
     }
     for ability in ABILITIES {
         let stage = stages.stage(ability);
-        // Whether records of it are left only its leader knows; they are taken to be.
-        let comes = match next_transition(
+        // Only the leader knows whether records that need the ability remain; assume that they do.
+        let next = match next_transition(
             ability,
             stages,
             &members,
-            cans,
+            recorded,
             &settings.ability_overrides(),
             true,
         ) {
-            Transition::Move(to, _) => format!("{} next", to.name()),
+            Transition::Move(stage, _) => format!("{} next", stage.name()),
             Transition::Hold(HoldReason::Complete) => "as far as it goes".into(),
             Transition::Hold(HoldReason::Disabled) => "stays so: abilities_off".into(),
             Transition::Hold(HoldReason::LegacyInstallation) => {
@@ -82,7 +95,7 @@
         };
         let since =
             stages.stages.get(ability).map_or(String::new(), |r| format!(" since term {}", r.term));
-        let _ = writeln!(out, "{ability}: {}{since}; {comes}", stage.name());
+        let _ = writeln!(out, "{ability}: {}{since}; {next}", stage.name());
     }
     if let Some(unknown) = stages.unsupported_ability() {
         let _ =
@@ -91,7 +104,8 @@
     out.trim_end().into()
 }
 
-/// Asks about a job, or cancels it. Returns the text for the user and the exit code.
+/// Queries or cancels a job through the controller at `server`. Returns the text for the user and the
+/// exit code.
 pub async fn job_command(uid: &str, server: &str, cancel: bool) -> (String, u8) {
     if !is_valid_uid(uid) {
         return (format!("`{uid}` is no job id: wk- and digits"), EXIT_USAGE);
@@ -104,25 +118,25 @@
     } else {
         (Method::GET, format!("/api/jobs/{uid}"))
     };
-    let limit = Duration::from_secs(5);
-    let answer = match Client::new(0).call(method, server, &path, None, limit).await {
-        Ok(answer) => answer,
-        Err(e) => return (format!("no answer from {server}: {e}"), NO_ANSWER),
+    let time_limit = Duration::from_secs(5);
+    let response = match Client::new(0).call(method, server, &path, None, time_limit).await {
+        Ok(response) => response,
+        Err(e) => return (format!("no answer from {server}: {e}"), EXIT_NO_ANSWER),
     };
-    match answer.status {
-        200 => match answer.decode::<JobStatus>() {
-            Some(s) => (describe(&s), EXIT_OK),
-            None => (format!("{server} answered what is no job"), NO_ANSWER),
+    match response.status {
+        200 => match response.decode::<JobStatus>() {
+            Some(status) => (format_job(&status), EXIT_OK),
+            None => (format!("{server} answered what is no job"), EXIT_NO_ANSWER),
         },
-        404 => (format!("{uid}: unknown job"), UNKNOWN),
-        s => (format!("{server} can't answer now (status {s}); ask again later"), NO_ANSWER),
+        404 => (format!("{uid}: unknown job"), EXIT_UNKNOWN_JOB),
+        s => (format!("{server} can't answer now (status {s}); ask again later"), EXIT_NO_ANSWER),
     }
 }
 
-fn describe(s: &JobStatus) -> String {
+fn format_job(s: &JobStatus) -> String {
     let mut text = format!("{}: {}, {} tasks done, {} running", s.uid, s.status, s.done, s.running);
-    if let Some(why) = &s.reason {
-        text += &format!("; {why}");
+    if let Some(reason) = &s.reason {
+        text += &format!("; {reason}");
     }
     if !s.pending_dependencies.is_empty() {
         text += &format!(": {}", s.pending_dependencies.join(", "));
@@ -131,10 +145,11 @@
             text += &format!(" and {more} more");
         }
     }
-    if let Some(by) = &s.blocked_by {
-        text += &format!("; held back by {} ({}), {}", by.uid, by.class, by.status);
-        if let Some(why) = &by.reason {
-            text += &format!(": {why}");
+    if let Some(blocking) = &s.blocked_by {
+        text +=
+            &format!("; held back by {} ({}), {}", blocking.uid, blocking.class, blocking.status);
+        if let Some(reason) = &blocking.reason {
+            text += &format!(": {reason}");
         }
     }
     text
@@ -145,12 +160,12 @@
     use super::*;
 
     #[test]
-    fn bad_arguments_are_told_apart() {
+    fn invalid_arguments_and_unreachable_servers_have_their_own_exit_codes() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         for (uid, server, code, word) in [
             ("job-1", "127.0.0.1:1", EXIT_USAGE, "no job id"),
             ("wk-1", "localhost", EXIT_USAGE, "no address"),
-            ("wk-1", "127.0.0.1:1", NO_ANSWER, "no answer"),
+            ("wk-1", "127.0.0.1:1", EXIT_NO_ANSWER, "no answer"),
         ] {
             let (text, got) = runtime.block_on(job_command(uid, server, false));
             assert!(got == code && text.contains(word), "{text}");
@@ -158,11 +173,11 @@
     }
 
     #[test]
-    fn a_waiting_job_says_why() {
-        let why = Some("the team's limit is reached".into());
-        let mut s = JobStatus { reason: why, ..JobStatus::new("wk-1", "queued") };
+    fn a_waiting_job_is_shown_with_its_reason() {
+        let reason = Some("the team's limit is reached".into());
+        let mut s = JobStatus { reason, ..JobStatus::new("wk-1", "queued") };
         assert_eq!(
-            describe(&s),
+            format_job(&s),
             "wk-1: queued, 0 tasks done, 0 running; the team's limit is reached"
         );
         s.reason = Some("waits for other jobs to be done".into());
@@ -174,29 +189,34 @@
             status: "running".into(),
             reason: None,
         });
-        let text = describe(&s);
+        let text = format_job(&s);
         assert!(text.ends_with(
             "; waits for other jobs to be done: wk-2, wk-3 and 3 more; held back by wk-7 (render), running"
         ), "{text}");
     }
 
     #[test]
-    fn stages_are_told_with_what_holds_them_back() {
+    fn stages_are_shown_with_what_blocks_the_next_transition() {
         let settings = copperhaven_core::for_tests::sample_settings();
-        let can = |m: &str| (m.to_string(), AbilitiesRecord::for_release(2));
-        let born = StagesRecord { born_with_stages: true, ..StagesRecord::default() };
-        let written = born.with_stage("packs", copperhaven_rollout::Stage::Written, 4, vec![]);
-        for (stages, cans, expected) in [
+        let recorded = |m: &str| (m.to_string(), AbilitiesRecord::for_release(2));
+        let new_installation = StagesRecord { born_with_stages: true, ..StagesRecord::default() };
+        let written =
+            new_installation.with_stage("packs", copperhaven_rollout::Stage::Written, 4, vec![]);
+        for (stages, abilities, expected) in [
             (
-                &born,
-                vec![can("c-0")],
+                &new_installation,
+                vec![recorded("c-0")],
                 "c-1: nothing recorded\nc-0: release 2, can packs\npacks: known; waits for c-1",
             ),
-            (&born, vec![can("c-0"), can("c-1")], "packs: known; written next"),
+            (
+                &new_installation,
+                vec![recorded("c-0"), recorded("c-1")],
+                "packs: known; written next",
+            ),
             (&StagesRecord::default(), vec![], "packs: known; an older release wrote here before"),
             (&written, vec![], "packs: written since term 4; as far as it goes"),
         ] {
-            let text = told(&settings, stages, &cans.into_iter().collect());
+            let text = format_stages(&settings, stages, &abilities.into_iter().collect());
             assert!(text.contains(expected), "{text}");
         }
     }
--- a/crates/controller/src/listen.rs
+++ b/crates/controller/src/listen.rs
@@ -1,26 +1,27 @@
-//! Taking a port. After an end the kernel may hold the old one for a moment, and a predecessor may still be
-//! on its way out: a port that is taken is tried again for some seconds.
+//! Listening on a configured address. After a restart the kernel may hold the port for a moment, or the
+//! previous process may still be shutting down, so a port in use is retried for some seconds.
 
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// How long a port that is taken is tried again.
+/// Time for which a port in use is retried.
 pub const BIND_TIMEOUT: Duration = Duration::from_secs(8);
-const PAUSE: Duration = Duration::from_millis(200);
+/// Time between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A port that could not be had; names the address and the setting that asks for it.
+/// An address that could not be bound, with the setting that names it and a hint how to fix it.
 #[derive(Debug, thiserror::Error)]
-#[error("cannot listen on {addr} (setting `{setting}`): {why}; {mend}")]
+#[error("cannot listen on {addr} (setting `{setting}`): {error}; {hint}")]
 pub struct ListenError {
     addr: String,
     setting: &'static str,
-    why: std::io::Error,
-    mend: &'static str,
+    error: std::io::Error,
+    hint: &'static str,
 }
 
-fn mend(kind: ErrorKind) -> &'static str {
+fn fix_hint(kind: ErrorKind) -> &'static str {
     match kind {
         ErrorKind::AddrInUse => "end the process that has it, or give another port",
         ErrorKind::AddrNotAvailable => "give an address of this machine",
@@ -31,29 +32,29 @@
     }
 }
 
-/// Listens on the address of a setting; tries again for `patience` while it is taken.
+/// Listens on the address of a setting; while it is in use, retries for up to `retry_for`.
 pub async fn listen(
     addr: &str,
     setting: &'static str,
-    patience: Duration,
+    retry_for: Duration,
 ) -> Result<TcpListener, ListenError> {
-    let end = Instant::now() + patience;
-    let mut told = false;
+    let deadline = Instant::now() + retry_for;
+    let mut logged = false;
     loop {
-        let why = match TcpListener::bind(addr).await {
+        let error = match TcpListener::bind(addr).await {
             Ok(listener) => return Ok(listener),
-            Err(why) => why,
+            Err(error) => error,
         };
-        if why.kind() != ErrorKind::AddrInUse || Instant::now() >= end {
-            let mend = mend(why.kind());
-            return Err(ListenError { addr: addr.into(), setting, why, mend });
+        if error.kind() != ErrorKind::AddrInUse || Instant::now() >= deadline {
+            let hint = fix_hint(error.kind());
+            return Err(ListenError { addr: addr.into(), setting, error, hint });
         }
-        if !told {
-            told = true;
-            let s = patience.as_secs();
-            tracing::warn!("{addr} (setting `{setting}`) is taken: tried again for {s} s");
+        if !logged {
+            logged = true;
+            let s = retry_for.as_secs();
+            tracing::warn!("{addr} (setting `{setting}`) is in use; retrying for {s} s");
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -67,9 +68,8 @@
     }
 
     #[test]
-    fn a_port_that_gets_free_in_time_is_taken() {
-        // Seen once with real processes beside other load: "Address already in use", and the controller
-        // ended.
+    fn a_port_that_becomes_free_in_time_is_bound() {
+        // On a loaded machine a controller process once exited with "Address already in use".
         run(async {
             let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let addr = other.local_addr().expect("bound").to_string();
@@ -77,13 +77,14 @@
                 sleep(Duration::from_millis(300)).await;
                 drop(other);
             });
-            let got = listen(&addr, "front", Duration::from_secs(20)).await.expect("free by now");
-            assert_eq!(got.local_addr().expect("bound").to_string(), addr);
+            let listener =
+                listen(&addr, "front", Duration::from_secs(20)).await.expect("free by now");
+            assert_eq!(listener.local_addr().expect("bound").to_string(), addr);
         });
     }
 
     #[test]
-    fn what_can_t_be_had_names_address_setting_and_mend() {
+    fn bind_errors_name_address_setting_and_fix() {
         run(async {
             let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let addr = other.local_addr().expect("bound").to_string();
@@ -92,7 +93,7 @@
             for part in [addr.as_str(), "`cluster_listen`", "end the process that has it"] {
                 assert!(text.contains(part), "{text}");
             }
-            // TEST-NET: no machine has it. Nothing is waited for.
+            // No machine has an address of TEST-NET, so this fails without retries.
             let begin = Instant::now();
             let e = listen("192.0.2.1:80", "front", BIND_TIMEOUT).await.expect_err("not here");
             assert!(e.to_string().contains("an address of this machine"), "{e}");
