--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -1,9 +1,11 @@
-//! Several real controllers in one process, on a paused clock: their code from the doors' routes and `leadership` to
-//! links between peers; state service, cloud, workers and users as stand-ins by the protocol; and a network whose
-//! links are cut one by one, in each direction, in each mode. The rules are counted at the workers and users.
+//! Tests of several real controllers in one process, on a paused clock.
 //!
-//! Left out: the doors' sockets (a request is handed to the routes), checkpoints and spot notices, and processes that
-//! stand still, which the random schedules of the core play. What is measured is printed with `--nocapture`.
+//! The controllers run their own code from the API routes and `leadership` to the links between peers. The state service,
+//! the cloud, workers and users are emulated at the protocol level. The emulated network can cut each link separately, in
+//! each direction and in each mode. The rules are checked by what workers and users observe.
+//!
+//! Not covered: the sockets of the API endpoints (a request is handed to the routes), checkpoints, spot notices, and
+//! processes that stand still, which the random schedules of the core crate cover. `--nocapture` prints the measurements.
 
 mod answers;
 mod checker;
@@ -46,79 +48,101 @@
 use users::{Habits, Mix, Users};
 use workers::{Gangs, Worker};
 
+/// Controllers and everything that they talk to, for one test run.
 pub struct World {
+    /// The emulated network that connects all hosts.
     pub net: Arc<Network>,
+    /// Settings of the first controller; the deployment part is the same for all.
     pub settings: Settings,
+    /// Member names of the controllers, by index.
     pub names: Vec<String>,
+    /// Names of the zones, by index.
     pub zones: Vec<&'static str>,
+    /// The emulated state service.
     pub store: Arc<Mutex<Store>>,
+    /// The controllers, by index; a restart replaces the entry.
     nodes: Mutex<Vec<Arc<Node>>>,
-    /// Controllers whose process has ended and is not back yet.
+    /// Controllers whose process has ended and has not been restarted yet.
     down: Mutex<BTreeSet<usize>>,
+    /// Checks the rules by what workers and users observe.
     pub checker: Mutex<Checker>,
+    /// What users have observed so far.
     pub users: Mutex<Users>,
+    /// Gangs with tasks that wait or run, by job and attempt.
     pub gangs: Mutex<Gangs>,
-    /// All machines that are up, provided and rented.
+    /// All machines that are up, both provided and rented.
     pub workers: Mutex<Vec<Arc<Mutex<Worker>>>>,
+    /// The emulated cloud.
     pub cloud: Mutex<Cloud>,
-    /// Copies of workers' reports arrive up to three leases later.
+    /// Whether copies of workers' reports arrive again, up to three leases later.
     pub copies: AtomicBool,
-    /// Copies of reports are kept for the next leader: from where, and what they say.
+    /// Whether copies of reports are kept for the next leader.
     pub keeps: AtomicBool,
+    /// The copies that are kept: the sender and the encoded report.
     pub kept: Mutex<Vec<(Host, Vec<u8>)>>,
-    /// What goes wrong at which moment, and how often that came about.
+    /// Faults to inject at given moments.
     pub traps: Mutex<Vec<Trap>>,
+    /// How many faults were injected at such moments.
     pub sprung: Mutex<usize>,
+    /// What users do.
     pub habits: Habits,
 }
 
-/// What a schedule came to.
+/// Measurements of one run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Tasks killed by leases, and started.
+    /// Tasks killed because the lease of their worker ended.
     pub killed: usize,
+    /// Tasks started.
     pub started: usize,
-    /// The longest that a submission took, and answers that turned one away.
+    /// The longest time until a submission was accepted.
     pub worst: Duration,
+    /// Submissions that were sent without being accepted.
     pub refused: usize,
-    /// Time in which nobody led, from the first leader on, and how often the leader changed.
+    /// Time without a leader after the first one was elected.
     pub leaderless: Duration,
+    /// How often the leader changed.
     pub changes: usize,
-    /// The longest that questions about one accepted job went unanswered once the troubles were over.
+    /// The longest time for which queries about one accepted job went unanswered once the faults were over.
     pub unanswered: Duration,
-    /// Jobs that users were told are cancelled, and the longest that a task of one was there after that.
+    /// Jobs whose cancellation was reported to users.
     pub cancelled: usize,
+    /// The longest time for which a task was still present after that.
     pub lingered: Duration,
     /// Transactions that were carried out without an answer, at once or late.
     pub late: u64,
-    /// Answers to close looks, and those that put it off; bad submissions turned away; traps that sprang.
+    /// Queries in bursts that were answered, and those that got no answer or a 5xx status.
     pub looks: (usize, usize),
+    /// Answers to invalid submissions.
     pub bad: usize,
+    /// Faults injected at given moments.
     pub sprung: usize,
-    /// Starts after a confirmed cancellation, of orders on their way; and the longest that a job waited with room.
+    /// Tasks that started after a confirmed cancellation, by orders that were in flight.
     pub started_late: usize,
+    /// The longest time for which a job waited while free capacity for it existed.
     pub idle: Duration,
-    /// Machines that were rented and came up, and those returned.
+    /// Machines that were rented and finished booting, and machines that were returned.
     pub rented: (usize, usize),
 }
 
-/// Runs a controller that has its own address to itself.
-fn run_node(ix: usize, node: Arc<Node>) {
-    node.set_listen_addr(&format!("10.0.0.{ix}:1"));
+/// Runs a controller that is the only process with its listen address.
+fn run_node(index: usize, node: Arc<Node>) {
+    node.set_listen_addr(&format!("10.0.0.{index}:1"));
     peers::maintain_links(&node);
     tokio::spawn(leadership::run(node));
 }
 
-fn settings(controllers: usize, me: usize, zones: &[&str], limit: usize) -> Settings {
+/// Returns the settings of one controller; a team's guarantee is half of its limit of `max_cpus`.
+fn settings(controllers: usize, self_index: usize, zones: &[&str], max_cpus: usize) -> Settings {
     use std::fmt::Write;
-    let (cpus, most) = (limit as f64 / 2.0, limit as f64);
-    let team = |name| format!("{{ name = \"{name}\", cpus = {cpus}, cpus_max = {most} }}");
+    let (cpus, max_cpus) = (max_cpus as f64 / 2.0, max_cpus as f64);
+    let team = |name| format!("{{ name = \"{name}\", cpus = {cpus}, cpus_max = {max_cpus} }}");
     let teams = [team("red"), team("blue")].join(", ");
     let mut text = format!(
-        "member = \"c-{me}\"\nzone = \"{}\"\nfront = \"\"\ncluster_listen = \"\"\n",
-        zones[me % zones.len()]
+        "member = \"c-{self_index}\"\nzone = \"{}\"\nfront = \"\"\ncluster_listen = \"\"\n",
+        zones[self_index % zones.len()]
     );
-    for other in (0..controllers).filter(|o| *o != me) {
+    for other in (0..controllers).filter(|other| *other != self_index) {
         let zone = zones[other % zones.len()];
         let _ = write!(
             text,
@@ -133,19 +157,22 @@
 }
 
 impl World {
+    /// Returns the number of controllers.
     pub fn count(&self) -> usize {
         self.names.len()
     }
 
+    /// Returns a controller's current process.
     pub fn node(&self, ix: usize) -> Arc<Node> {
         self.nodes.lock().expect("lock")[ix].clone()
     }
 
-    /// A world of so many controllers and workers, everything up, and users who submit.
+    /// Starts a world with the default habits of users; see [`World::with`].
     pub async fn start(controllers: usize, machines: usize, seed: u64) -> Arc<World> {
         World::with(controllers, machines, seed, Habits::default()).await
     }
 
+    /// Starts a world in which all controllers and machines are up and users submit jobs.
     pub async fn with(
         controllers: usize,
         machines: usize,
@@ -154,7 +181,7 @@
     ) -> Arc<World> {
         let zones = vec!["north", "south", "west"];
         let net = Arc::new(Network::default());
-        let all: Vec<Arc<Mutex<Worker>>> =
+        let provided: Vec<Arc<Mutex<Worker>>> =
             (0..machines).map(|n| Arc::new(Mutex::new(Worker::new(n, n % 3)))).collect();
         let nodes: Vec<Arc<Node>> = (0..controllers)
             .map(|ix| {
@@ -162,10 +189,10 @@
                 Arc::new(Node::with_net(net.at(Host::Controller(ix)), settings))
             })
             .collect();
-        let world = Arc::new_cyclic(|me| {
+        let world = Arc::new_cyclic(|world| {
             let store = Arc::new(Mutex::new(Store::default()));
-            services::open(&net, &store, me.clone());
-            cloud::open(&net, &zones, me.clone());
+            services::open(&net, &store, world.clone());
+            cloud::open(&net, &zones, world.clone());
             World {
                 settings: settings(controllers, 0, &zones, habits.limit),
                 names: (0..controllers).map(|ix| format!("c-{ix}")).collect(),
@@ -191,20 +218,20 @@
             world.open_peer(ix);
             run_node(ix, node);
         }
-        for (n, worker) in all.iter().enumerate() {
+        for (n, worker) in provided.iter().enumerate() {
             world.provide(worker.clone(), seed * 1000 + n as u64);
         }
         tokio::spawn(users::run(world.clone()));
         world
     }
 
-    /// The process of this controller ends, without a word.
+    /// Ends this controller's process without notice to anyone.
     pub fn end(&self, ix: usize) {
         self.down.lock().expect("lock").insert(ix);
         self.net.end(Host::Controller(ix));
     }
 
-    /// It is started again, with the same settings.
+    /// Starts a controller again as a new process with the same settings.
     pub fn back(&self, ix: usize) {
         let settings = settings(self.count(), ix, &self.zones, self.habits.limit);
         let node = Arc::new(Node::with_net(self.net.at(Host::Controller(ix)), settings));
@@ -213,32 +240,33 @@
         run_node(ix, node);
     }
 
-    /// It ends, and is started again after so many milliseconds.
-    pub fn end_for(self: &Arc<Self>, ix: usize, back: u64) {
+    /// Ends a controller's process and restarts it after `restart_after_ms`.
+    pub fn end_for(self: &Arc<Self>, ix: usize, restart_after_ms: u64) {
         self.end(ix);
         let world = self.clone();
         tokio::spawn(async move {
-            sleep(Duration::from_millis(back)).await;
+            sleep(Duration::from_millis(restart_after_ms)).await;
             world.back(ix);
         });
     }
 
+    /// Returns whether a controller's process has ended and has not been restarted yet.
     pub fn is_down(&self, ix: usize) -> bool {
         self.down.lock().expect("lock").contains(&ix)
     }
 
-    /// A request from outside to a controller's door, and the answer, if the same process lives to give it.
+    /// Sends a request from outside to a controller. Returns the answer if it arrives and the same process still runs then.
     pub async fn ask(&self, from: Host, to: usize, op: Op, body: &[u8]) -> Option<Reply> {
         if !self.net.pass(from, Host::Controller(to)).await || self.is_down(to) {
             return None;
         }
         let node = self.node(to);
         let reply = self.door(to, op, body).await;
-        let lives = !self.is_down(to) && Arc::ptr_eq(&node, &self.node(to));
-        (lives && self.net.pass(Host::Controller(to), from).await).then_some(reply)
+        let still_runs = !self.is_down(to) && Arc::ptr_eq(&node, &self.node(to));
+        (still_runs && self.net.pass(Host::Controller(to), from).await).then_some(reply)
     }
 
-    /// The answer of a controller's door.
+    /// Hands a request to a controller's API routes, without the network.
     pub async fn door(&self, to: usize, op: Op, body: &[u8]) -> Reply {
         let id = String::from_utf8_lossy(body);
         let (method, path, body) = match op {
@@ -251,17 +279,14 @@
         let request = Request::builder().method(method).uri(uri).body(body.to_vec());
         let response = api::routes(self.node(to)).get_response(request).await;
         let header = |name| response.header(name).unwrap_or_default().to_string();
-        let (retry_after, close) = (header("retry-after"), header("connection") == "close");
+        let (retry_after, close_connection) =
+            (header("retry-after"), header("connection") == "close");
         let status = response.status().as_u16();
         let body = response.into_body().into_vec().await.expect("a body");
-        Reply {
-            status,
-            retry_after: retry_after.parse().unwrap_or(0),
-            body,
-            close_connection: close,
-        }
+        Reply { status, retry_after: retry_after.parse().unwrap_or(0), body, close_connection }
     }
 
+    /// Accepts connections from peers for a controller.
     fn open_peer(self: &Arc<Self>, ix: usize) {
         let world = self.clone();
         let accept = move |_, io| {
@@ -270,34 +295,35 @@
         self.net.open(&format!("peer:{ix}"), Host::Controller(ix), Arc::new(accept));
     }
 
-    /// Where the balancer sends a user's `n`th connection: to one that is up, if any is.
+    /// Returns the controller to which the load balancer sends the `n`th connection: one that is ready, if there is any.
     pub fn balanced(&self, n: usize) -> usize {
         let all = 0..self.count();
-        let up: Vec<usize> =
+        let ready: Vec<usize> =
             all.filter(|ix| !self.is_down(*ix) && self.node(*ix).is_ready()).collect();
-        if up.is_empty() { n % self.count() } else { up[n % up.len()] }
+        if ready.is_empty() { n % self.count() } else { ready[n % ready.len()] }
     }
 
-    /// Who leads, by its own word and with authority as users see it: at most one answers.
+    /// Returns the controller that considers itself leader with authority to answer users; there is at most one.
     pub fn leader(&self) -> Option<usize> {
         self.leaders().last().copied()
     }
 
+    /// Returns all controllers that consider themselves leader.
     fn leaders(&self) -> Vec<usize> {
         (0..self.count()).filter(|ix| !self.is_down(*ix) && self.node(*ix).is_leader()).collect()
     }
 
-    /// Watches for so long; what came of it is added up.
+    /// Runs for `time` and checks the rules every 50 ms. Adds the time without a leader and the changes of leader to `out`.
     pub async fn watch(&self, time: Duration, out: &mut Outcome) {
         let end = Instant::now() + time;
         let mut last = self.leader();
         while Instant::now() < end {
             sleep(Duration::from_millis(50)).await;
             self.checker.lock().expect("lock").check(CANCEL);
-            self.look_for_idle();
-            let leads = self.leaders();
-            assert!(leads.len() <= 1, "two with authority: {leads:?}");
-            match leads.first() {
+            self.check_idle_capacity();
+            let leaders = self.leaders();
+            assert!(leaders.len() <= 1, "two leaders with authority: {leaders:?}");
+            match leaders.first() {
                 None => out.leaderless += Duration::from_millis(50),
                 Some(ix) => {
                     out.changes += usize::from(last.is_some_and(|l| l != *ix));
@@ -307,32 +333,36 @@
         }
     }
 
-    /// Once all is calm, no job waits for 90 s while a machine that fits has room and its team is under its limit.
-    fn look_for_idle(&self) {
+    /// Once all faults are over, checks that no job waits for 90 s while a suitable machine has free capacity and its team
+    /// is below its limit.
+    fn check_idle_capacity(&self) {
         let users = self.users.lock().expect("lock");
         assert!(users.wrong.is_empty(), "{:?}", users.wrong);
         if self.habits.mix == Mix::Plain || users.calm.is_none() {
             return;
         }
-        let mut held: Vec<(String, f64)> = vec![];
+        let mut allocated: Vec<(String, f64)> = vec![];
         let mut free = |w: &Arc<Mutex<Worker>>| {
             let w = w.lock().expect("lock");
-            let (cpus, mem) = w.free();
-            held.extend(w.held().map(|(parcel, cpus)| (parcel.clone(), cpus)));
-            (self.zones[w.zone], cpus, mem)
+            let (cpus, mem_gb) = w.free();
+            allocated.extend(w.held().map(|(task_id, cpus)| (task_id.clone(), cpus)));
+            (self.zones[w.zone], cpus, mem_gb)
         };
         let free: Vec<_> = self.workers.lock().expect("lock").iter().map(&mut free).collect();
-        let left = self.checker.lock().expect("lock").look_for_idle(users.open(), &free, &held);
-        let Some(uid) = left else { return };
-        let says = self.leader().map(|ix| self.node(ix)).and_then(|node| {
+        let waiting =
+            self.checker.lock().expect("lock").look_for_idle(users.open(), &free, &allocated);
+        let Some(uid) = waiting else { return };
+        let job = self.leader().map(|ix| self.node(ix)).and_then(|node| {
             let term = node.leadership_status().0;
-            node.with_leader_state(term, |c, _| c.job(&uid).map(|(_, job)| format!("{job:?}")))
+            node.with_leader_state(term, |leader, _| {
+                leader.job(&uid).map(|(_, job)| format!("{job:?}"))
+            })
         });
-        panic!("left waiting: {uid}, {says:?}");
+        panic!("waits although it would fit: {uid}, {job:?}");
     }
 
-    /// Watches while troubles begin and end, each from one moment to another, in milliseconds. What ends at a moment ends
-    /// before what begins then.
+    /// Runs while faults begin and end; each is given with its begin and its end in milliseconds. Of several events at one
+    /// time, the ends come before the begins.
     pub async fn play<T: Copy>(
         &self,
         troubles: &[(u64, u64, T)],
@@ -353,7 +383,7 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Copies into `out` what was counted since the start, or since `begin`.
     pub fn sum(&self, out: &mut Outcome) {
         let checker = self.checker.lock().expect("lock");
         let users = self.users.lock().expect("lock");
@@ -366,29 +396,29 @@
         let cloud = self.cloud.lock().expect("lock");
         out.rented = (cloud.booted, cloud.returned);
         out.late = self.store.lock().expect("lock").were_late;
-        let open = users.waiting.values().map(Instant::elapsed).max().unwrap_or_default();
-        out.worst = out.worst.max(open);
+        let longest_wait = users.waiting.values().map(Instant::elapsed).max().unwrap_or_default();
+        out.worst = out.worst.max(longest_wait);
         let silent = users.accepted.keys().map(|uid| users.silence(uid)).max().unwrap_or_default();
         out.unanswered = users.unanswered.max(silent);
     }
 
-    /// All troubles are over.
+    /// Marks the time from which on no fault is active any more.
     pub fn calm(&self) {
         self.users.lock().expect("lock").calm = Some(Instant::now());
     }
 
-    /// Measures submissions from here on.
+    /// Resets the measurements of submissions and of killed tasks.
     pub fn begin(&self) {
         let mut users = self.users.lock().expect("lock");
         (users.worst, users.refused) = (Duration::ZERO, 0);
         self.checker.lock().expect("lock").killed = 0;
     }
 
-    /// In the end all links are whole: every accepted job is known, done by the workers' own count
-    /// before anybody calls it so, and none is lost.
+    /// Runs on with all links intact, then checks that every accepted job is still known, that a job reported as done has
+    /// all its tasks done by the workers' own count, and that only jobs cancelled by their users are aborted.
     pub async fn settle(&self) {
-        let most = Duration::from_secs(35) + self.habits.run;
-        self.watch(most, &mut Outcome::default()).await;
+        let settle_time = Duration::from_secs(35) + self.habits.run;
+        self.watch(settle_time, &mut Outcome::default()).await;
         let accepted: Vec<String> =
             self.users.lock().expect("lock").accepted.keys().cloned().collect();
         let mut unfinished = 0;
@@ -403,7 +433,7 @@
                     let asked = self.users.lock().expect("lock").asked.contains(uid);
                     assert!(asked, "went_back: {uid}, which nobody cancelled");
                 }
-                // Those of the last seconds.
+                // Jobs of the last seconds.
                 _ => unfinished += 1,
             }
         }
@@ -421,7 +451,7 @@
     runtime.expect("runtime").block_on(f)
 }
 
-/// For schedules.
+/// Sets or lifts a cut of the links between two hosts in both directions.
 pub fn both(net: &Network, a: Host, b: Host, mode: Option<Mode>) {
     net.cut(a, b, mode);
     net.cut(b, a, mode);
--- a/crates/controller/tests/world/workers.rs
+++ b/crates/controller/tests/world/workers.rs
@@ -1,4 +1,7 @@
-//! Workers by the protocol: sessions, tokens, leases, one report in flight, images, gangs; machines that hang and go on.
+//! Emulated workers that speak the worker protocol.
+//!
+//! Covers sessions, terms, leases, one report in flight at a time, image pulls, gangs, and machines that hang for a while
+//! and then continue.
 
 use crate::World;
 use crate::checker::{Place, parts};
@@ -16,20 +19,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-const ANSWER: Duration = Duration::from_secs(4);
+/// How long a worker waits for the answer to a report.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What every machine has.
+/// CPUs of every machine.
 pub const CPUS: f64 = 8.0;
+/// Memory of every machine.
 const MEM_GB: f64 = 32.0;
+/// The machine type of every machine.
 pub const BERTH: &str = "m8";
 
-/// How often workers look at their tasks.
-const STEP: Duration = Duration::from_millis(100);
+/// Interval at which workers update their tasks.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Deserialize, Debug)]
 struct Order {
     verb: String,
-    parcel: String,
+    #[serde(rename = "parcel")]
+    task_id: String,
     #[serde(rename = "try")]
     attempt: u64,
 }
@@ -37,113 +44,131 @@
 #[derive(Deserialize, Debug)]
 struct Orders {
     #[serde(default)]
-    warrant: u64,
+    #[serde(rename = "warrant")]
+    term: u64,
     #[serde(default)]
-    shift: Option<u64>,
+    #[serde(rename = "shift")]
+    session: Option<u64>,
     #[serde(default)]
     orders: Vec<Order>,
     #[serde(default)]
-    foreman: Option<String>,
+    #[serde(rename = "foreman")]
+    leader: Option<String>,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Stage {
-    /// Until its image is there.
+    /// The image is pulled until then.
     Pulling(Instant),
-    /// Of a gang, for its mates, since then.
+    /// Has waited for the other gang members since then.
     Waiting(Instant),
-    /// Until it is done.
+    /// Runs until then.
     Running(Instant),
+    /// Has ended, for this cause.
     Ended(&'static str),
 }
 
 struct Task {
     attempt: u64,
     stage: Stage,
-    /// Of its machine.
+    /// CPUs that it takes of its machine.
     cpus: f64,
-    mem: f64,
+    /// Memory that it takes of its machine.
+    mem_gb: f64,
 }
 
 impl Task {
+    /// Returns whether the task has its image and has not ended.
     fn is_there(&self) -> bool {
         matches!(self.stage, Stage::Waiting(_) | Stage::Running(_))
     }
 }
 
-/// The tasks of a gang that wait or run, by attempt.
+/// The tasks of one attempt of a gang that wait or run.
 #[derive(Default)]
 pub struct Gang {
-    /// By task: its machine.
-    there: BTreeMap<u32, String>,
+    /// The machine of each task, by task index.
+    present: BTreeMap<u32, String>,
+    /// When all tasks were present and the gang started.
     started: Option<Instant>,
-    /// Since when one of them is missing after it has started.
-    torn: Option<Instant>,
+    /// When a task went missing after the gang had started.
+    broken_at: Option<Instant>,
 }
 
+/// Gangs by job and attempt.
 pub type Gangs = BTreeMap<(String, u64), Gang>;
 
+/// One emulated machine with its worker.
 pub struct Worker {
+    /// The machine's id.
     pub name: String,
+    /// Index of its zone.
     pub zone: usize,
     spot: bool,
-    shift: u64,
-    tally: u64,
-    token: u64,
+    session: u64,
+    /// Sequence number of the last report.
+    sequence: u64,
+    /// The highest term that it has acknowledged.
+    term: u64,
     /// When the last answered report was sent, or this session began.
-    answered: Instant,
+    last_answered_sent_at: Instant,
+    /// Tasks by task id, also those that have ended and are still to be forgotten.
     tasks: BTreeMap<String, Task>,
+    /// When the pull of each image ends.
     images: BTreeMap<String, Instant>,
-    /// It does nothing until then.
-    hangs: Option<Instant>,
-    /// It reaches no controller, while direct commands reach it.
+    /// The machine does nothing until then.
+    hangs_until: Option<Instant>,
+    /// Whether its reports reach no controller, while direct commands still reach it.
     pub mute: bool,
-    /// It has been returned.
+    /// Whether the machine has been returned or stopped.
     pub gone: bool,
-    /// Something has changed since its last report.
+    /// Whether anything has changed since its last report.
     changed: bool,
 }
 
 impl Worker {
+    /// Creates a machine whose id is made from a number.
     pub fn new(n: usize, zone: usize) -> Worker {
         Worker::named(format!("n-{n:03}"), zone, false)
     }
 
+    /// Creates a machine with this id.
     pub fn named(name: String, zone: usize, spot: bool) -> Worker {
         Worker {
             name,
             zone,
             spot,
-            shift: 1,
-            tally: 0,
-            token: 0,
-            answered: Instant::now(),
+            session: 1,
+            sequence: 0,
+            term: 0,
+            last_answered_sent_at: Instant::now(),
             tasks: BTreeMap::new(),
             images: BTreeMap::new(),
-            hangs: None,
+            hangs_until: None,
             mute: false,
             gone: false,
             changed: false,
         }
     }
 
+    /// Returns its network address.
     pub fn addr(&self) -> String {
         format!("worker-{}:1", self.name)
     }
 
-    fn hung(&self) -> bool {
-        self.hangs.is_some_and(|until| Instant::now() < until)
+    fn is_hung(&self) -> bool {
+        self.hangs_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// CPUs and memory that are left.
+    /// Returns the free CPUs and the free memory in GB.
     pub fn free(&self) -> (f64, f64) {
-        let held = self.tasks.values().filter(|t| !matches!(t.stage, Stage::Ended(_)));
-        held.fold((CPUS, MEM_GB), |(c, m), t| (c - t.cpus, m - t.mem))
+        let allocated = self.tasks.values().filter(|t| !matches!(t.stage, Stage::Ended(_)));
+        allocated.fold((CPUS, MEM_GB), |(cpus, mem_gb), t| (cpus - t.cpus, mem_gb - t.mem_gb))
     }
 
     fn report(&mut self, zones: &[&str]) -> Report {
-        self.tally += 1;
-        let parcels = self.tasks.iter().map(|(parcel, t)| {
+        self.sequence += 1;
+        let tasks = self.tasks.iter().map(|(task_id, t)| {
             let (status, cause) = match t.stage {
                 Stage::Pulling(_) => ("pulling", None),
                 Stage::Waiting(_) => ("waiting", None),
@@ -151,7 +176,7 @@
                 Stage::Ended(cause) => ("ended", Some(cause)),
             };
             TaskReport {
-                task_id: parcel.clone(),
+                task_id: task_id.clone(),
                 attempt: t.attempt,
                 status: status.into(),
                 cause: cause.map(Into::into),
@@ -164,25 +189,25 @@
             machine_type: BERTH.into(),
             zone: zones[self.zone].into(),
             spot: self.spot,
-            session: self.shift,
-            sequence: self.tally,
-            term: self.token,
+            session: self.session,
+            sequence: self.sequence,
+            term: self.term,
             reclaim_in_s: None,
-            tasks: parcels.collect(),
+            tasks: tasks.collect(),
         }
     }
 
-    /// What time brings to its tasks: images that are there, gangs that are complete, ends.
-    fn pass(&mut self, world: &World) {
-        if self.hung() {
+    /// Advances its tasks to the present time: pulls that are complete, gangs that are complete or broken, and ends.
+    fn update_tasks(&mut self, world: &World) {
+        if self.is_hung() {
             return;
         }
         let now = Instant::now();
         let mut checker = world.checker.lock().expect("lock");
         let mut gangs = world.gangs.lock().expect("lock");
-        for (parcel, task) in &mut self.tasks {
+        for (task_id, task) in &mut self.tasks {
             let before = task.stage;
-            let (job, number) = parts(parcel);
+            let (job, index) = parts(task_id);
             if let Stage::Pulling(at) = task.stage
                 && now >= at
             {
@@ -192,47 +217,50 @@
                     berth: BERTH,
                     spot: self.spot,
                 };
-                checker.on(parcel, place);
+                checker.on(task_id, place);
                 let body = checker.jobs[job].clone();
-                task.stage = if checker.has_ended(parcel) {
-                    checker.off(parcel, &self.name, true);
+                task.stage = if checker.has_ended(task_id) {
+                    checker.off(task_id, &self.name, true);
                     Stage::Ended("done")
                 } else if body.kind == JobKind::Gang {
                     let gang = gangs.entry((job.into(), task.attempt)).or_default();
-                    gang.there.insert(number, self.name.clone());
-                    if gang.there.len() as u64 == body.tasks && gang.started.is_none() {
+                    gang.present.insert(index, self.name.clone());
+                    if gang.present.len() as u64 == body.tasks && gang.started.is_none() {
                         gang.started = Some(now);
                     }
                     Stage::Waiting(now)
                 } else {
-                    Stage::Running(now + world.habits.run_of(&body, number))
+                    Stage::Running(now + world.habits.run_of(&body, index))
                 };
             }
             let Some(body) = checker.jobs.get(job).cloned() else { continue };
             if body.kind == JobKind::Gang && task.is_there() {
-                let of = &world.settings.deployment.workers;
+                let settings = &world.settings.deployment.workers;
                 let gang = gangs.entry((job.into(), task.attempt)).or_default();
-                let torn =
-                    gang.torn.is_some_and(|at| now >= at + Duration::from_secs_f64(of.gang_peer_s));
+                let broken = gang
+                    .broken_at
+                    .is_some_and(|at| now >= at + Duration::from_secs_f64(settings.gang_peer_s));
                 let end = gang.started.map(|at| at + world.habits.run_of(&body, 0));
                 let cause = match (task.stage, gang.started) {
-                    // All of them at the same moment, whichever machine looks first.
-                    _ if checker.has_ended(parcel) => Some("done"),
-                    _ if torn => Some("mates_gone"),
-                    (_, Some(_)) if gang.torn.is_none() && end.is_some_and(|end| now >= end) => {
+                    // All members end at the same time, whichever machine is updated first.
+                    _ if checker.has_ended(task_id) => Some("done"),
+                    _ if broken => Some("mates_gone"),
+                    (_, Some(_))
+                        if gang.broken_at.is_none() && end.is_some_and(|end| now >= end) =>
+                    {
                         (0..body.tasks).for_each(|t| checker.end(&format!("{job}/{t}")));
                         Some("done")
                     }
                     (Stage::Waiting(since), None)
-                        if now >= since + Duration::from_secs_f64(of.gang_wait_s) =>
+                        if now >= since + Duration::from_secs_f64(settings.gang_wait_s) =>
                     {
                         Some("alone")
                     }
                     _ => None,
                 };
                 if let Some(cause) = cause {
-                    leave(&mut gangs, job, task.attempt, number);
-                    checker.off(parcel, &self.name, cause == "done");
+                    leave(&mut gangs, job, task.attempt, index);
+                    checker.off(task_id, &self.name, cause == "done");
                     task.stage = Stage::Ended(cause);
                 } else if let (Stage::Waiting(_), Some(end)) = (task.stage, end) {
                     task.stage = Stage::Running(end);
@@ -240,7 +268,7 @@
             } else if let Stage::Running(ends) = task.stage
                 && now >= ends
             {
-                checker.off(parcel, &self.name, true);
+                checker.off(task_id, &self.name, true);
                 task.stage = Stage::Ended("done");
             }
             self.changed |= before != task.stage;
@@ -248,138 +276,144 @@
     }
 
     fn execute(&mut self, orders: &[Order], world: &World) {
-        for o in orders {
-            match o.verb.as_str() {
-                "run" => self.start(o, world),
+        for order in orders {
+            match order.verb.as_str() {
+                "run" => self.start(order, world),
                 "halt" => {
-                    let Some(t) = self.tasks.get_mut(&o.parcel) else { continue };
-                    if t.attempt != o.attempt || matches!(t.stage, Stage::Ended(_)) {
+                    let Some(t) = self.tasks.get_mut(&order.task_id) else { continue };
+                    if t.attempt != order.attempt || matches!(t.stage, Stage::Ended(_)) {
                         continue;
                     }
-                    let (there, (job, number)) = (t.is_there(), parts(&o.parcel));
+                    let (there, (job, index)) = (t.is_there(), parts(&order.task_id));
                     t.stage = Stage::Ended("halted");
                     self.changed = true;
                     if there {
-                        leave(&mut world.gangs.lock().expect("lock"), job, o.attempt, number);
-                        world.checker.lock().expect("lock").off(&o.parcel, &self.name, false);
+                        leave(&mut world.gangs.lock().expect("lock"), job, order.attempt, index);
+                        world.checker.lock().expect("lock").off(&order.task_id, &self.name, false);
                     }
                 }
                 _ => {
                     let ended = |t: &Task| matches!(t.stage, Stage::Ended(_));
-                    if self.tasks.get(&o.parcel).is_some_and(ended) {
-                        self.tasks.remove(&o.parcel);
+                    if self.tasks.get(&order.task_id).is_some_and(ended) {
+                        self.tasks.remove(&order.task_id);
                     }
                 }
             }
         }
     }
 
-    fn start(&mut self, o: &Order, world: &World) {
-        let refused =
-            |cause| Task { attempt: o.attempt, stage: Stage::Ended(cause), cpus: 0.0, mem: 0.0 };
-        // The same attempt has no effect; of another one `busy` would be told, which this map has no place for.
-        if self.tasks.contains_key(&o.parcel) {
+    /// Carries out a `run` order.
+    fn start(&mut self, order: &Order, world: &World) {
+        let refused = |cause| Task {
+            attempt: order.attempt,
+            stage: Stage::Ended(cause),
+            cpus: 0.0,
+            mem_gb: 0.0,
+        };
+        // An order to run the same attempt has no effect. Another attempt would be reported as `busy`, but this map holds
+        // only one attempt of a task.
+        if self.tasks.contains_key(&order.task_id) {
             return;
         }
         self.changed = true;
-        let job = parts(&o.parcel).0;
+        let job = parts(&order.task_id).0;
         let body = {
             let checker = world.checker.lock().expect("lock");
-            checker.ordered(&o.parcel);
+            checker.ordered(&order.task_id);
             checker.jobs.get(job).cloned()
         };
-        // A task of no job is refused, and shows.
+        // A task of an unknown job is refused, which shows in the reports.
         let Some(body) = body else {
-            self.tasks.insert(o.parcel.clone(), refused("no_such"));
+            self.tasks.insert(order.task_id.clone(), refused("no_such"));
             return;
         };
-        let (cpus, mem) = self.free();
-        if body.cpus > cpus + 1e-6 || body.mem_gb > mem + 1e-6 {
-            self.tasks.insert(o.parcel.clone(), refused("full"));
+        let (cpus, mem_gb) = self.free();
+        if body.cpus > cpus + 1e-6 || body.mem_gb > mem_gb + 1e-6 {
+            self.tasks.insert(order.task_id.clone(), refused("full"));
             return;
         }
         let now = Instant::now();
-        let pull = Duration::from_secs_f64(body.image_gb);
-        let at = *self.images.entry(body.image.clone()).or_insert(now + pull);
-        let stage = Stage::Pulling(at);
-        let task = Task { attempt: o.attempt, stage, cpus: body.cpus, mem: body.mem_gb };
-        self.tasks.insert(o.parcel.clone(), task);
+        let pull_time = Duration::from_secs_f64(body.image_gb);
+        let pulled_at = *self.images.entry(body.image.clone()).or_insert(now + pull_time);
+        let stage = Stage::Pulling(pulled_at);
+        let task = Task { attempt: order.attempt, stage, cpus: body.cpus, mem_gb: body.mem_gb };
+        self.tasks.insert(order.task_id.clone(), task);
     }
 
-    /// Everything on it ends.
+    /// Ends all tasks on the machine. Returns how many of them had their image and had not ended.
     fn drop_all(&mut self, world: &World) -> usize {
         let mut checker = world.checker.lock().expect("lock");
         let mut gangs = world.gangs.lock().expect("lock");
         let mut killed = 0;
-        for (parcel, task) in self.tasks.iter().filter(|(_, t)| t.is_there()) {
-            let (job, number) = parts(parcel);
-            leave(&mut gangs, job, task.attempt, number);
-            checker.off(parcel, &self.name, false);
+        for (task_id, task) in self.tasks.iter().filter(|(_, t)| t.is_there()) {
+            let (job, index) = parts(task_id);
+            leave(&mut gangs, job, task.attempt, index);
+            checker.off(task_id, &self.name, false);
             killed += 1;
         }
         self.tasks.clear();
         killed
     }
 
-    /// Its lease is over: a new session begins.
-    fn lapse(&mut self, world: &World) {
+    /// Ends all tasks since the lease is over, and begins a new session.
+    fn expire_lease(&mut self, world: &World) {
         let killed = self.drop_all(world);
         world.checker.lock().expect("lock").killed += killed;
-        self.shift += 1;
-        self.answered = Instant::now();
+        self.session += 1;
+        self.last_answered_sent_at = Instant::now();
         self.changed = true;
     }
 
-    /// The cloud has taken it away.
+    /// Removes the machine: it has been returned to the cloud or stopped.
     pub fn go(&mut self, world: &World) {
         self.drop_all(world);
         self.gone = true;
     }
 
-    /// It does nothing until then, and goes on where it was.
-    pub fn hang(&mut self, time: Duration) {
-        self.hangs = Some(Instant::now() + time);
+    /// Makes the machine do nothing for `duration`, after which it continues where it was.
+    pub fn hang(&mut self, duration: Duration) {
+        self.hangs_until = Some(Instant::now() + duration);
         for task in self.tasks.values_mut() {
             match &mut task.stage {
-                Stage::Pulling(at) | Stage::Running(at) => *at += time,
+                Stage::Pulling(at) | Stage::Running(at) => *at += duration,
                 _ => {}
             }
         }
     }
 
-    /// Tasks that have a place, with their image or waiting for it, and their CPUs.
+    /// Returns the tasks that have not ended, also those whose image is still being pulled, with their CPUs.
     pub fn held(&self) -> impl Iterator<Item = (&String, f64)> {
-        let held = self.tasks.iter().filter(|(_, t)| !matches!(t.stage, Stage::Ended(_)));
-        held.map(|(parcel, t)| (parcel, t.cpus))
+        let allocated = self.tasks.iter().filter(|(_, t)| !matches!(t.stage, Stage::Ended(_)));
+        allocated.map(|(task_id, t)| (task_id, t.cpus))
     }
 
-    /// Tasks that are there.
+    /// Returns the ids of the tasks that have their image and have not ended.
     pub fn runs(&self) -> impl Iterator<Item = &String> {
-        self.tasks.iter().filter(|(_, t)| t.is_there()).map(|(parcel, _)| parcel)
+        self.tasks.iter().filter(|(_, t)| t.is_there()).map(|(task_id, _)| task_id)
     }
 }
 
-/// A task of a gang is there no more.
-fn leave(gangs: &mut Gangs, job: &str, attempt: u64, number: u32) {
+/// Removes a task from its gang; a gang that has started is broken from then on.
+fn leave(gangs: &mut Gangs, job: &str, attempt: u64, index: u32) {
     if let Some(gang) = gangs.get_mut(&(job.to_string(), attempt)) {
-        gang.there.remove(&number);
+        gang.present.remove(&index);
         if gang.started.is_some() {
-            gang.torn.get_or_insert_with(Instant::now);
+            gang.broken_at.get_or_insert_with(Instant::now);
         }
     }
 }
 
-/// A machine that hangs tears its gangs: the others notice.
+/// Marks the started gangs with a task on this machine as broken: the machine hangs, and the other members notice.
 pub fn tear(world: &World, worker: &Worker) {
     let mut gangs = world.gangs.lock().expect("lock");
     for gang in gangs.values_mut().filter(|g| g.started.is_some()) {
-        if gang.there.values().any(|at| *at == worker.name) {
-            gang.torn.get_or_insert_with(Instant::now);
+        if gang.present.values().any(|machine| *machine == worker.name) {
+            gang.broken_at.get_or_insert_with(Instant::now);
         }
     }
 }
 
-/// Ends a worker's tasks at the moment at which its lease does, whatever it waits for then, and looks at them.
+/// Updates a worker's tasks at short intervals and ends them when its lease is over, even while a report is in flight.
 pub async fn keep_lease(world: Arc<World>, worker: Arc<Mutex<Worker>>) {
     let lease = Duration::from_secs_f64(world.settings.deployment.workers.lease_s);
     loop {
@@ -388,29 +422,29 @@
             if w.gone {
                 return;
             }
-            if w.answered.elapsed() > lease {
-                w.lapse(&world);
+            if w.last_answered_sent_at.elapsed() > lease {
+                w.expire_lease(&world);
             }
-            w.pass(&world);
-            w.answered + lease + Duration::from_millis(1)
+            w.update_tasks(&world);
+            w.last_answered_sent_at + lease + Duration::from_millis(1)
         };
-        sleep_until(end.min(Instant::now() + STEP)).await;
+        sleep_until(end.min(Instant::now() + UPDATE_INTERVAL)).await;
     }
 }
 
-/// Executes commands, if token and session match.
-fn command(w: &mut Worker, world: &World, body: &[u8]) -> u16 {
-    let Ok(c) = rmp_serde::from_slice::<Orders>(body) else { return 400 };
-    if c.warrant < w.token || c.shift != Some(w.shift) || w.gone {
+/// Carries out direct orders if they are of no older term and of this session. Returns the HTTP status.
+fn handle_commands(w: &mut Worker, world: &World, body: &[u8]) -> u16 {
+    let Ok(direct) = rmp_serde::from_slice::<Orders>(body) else { return 400 };
+    if direct.term < w.term || direct.session != Some(w.session) || w.gone {
         return 409;
     }
-    w.changed |= c.warrant > w.token;
-    w.token = c.warrant;
-    w.execute(&c.orders, world);
+    w.changed |= direct.term > w.term;
+    w.term = direct.term;
+    w.execute(&direct.orders, world);
     200
 }
 
-/// Answers direct commands and inspections; what reaches a machine that hangs is carried out when it goes on.
+/// Accepts direct orders and inspections. Orders that reach a machine while it hangs are carried out when it continues.
 pub fn open(world: &Arc<World>, worker: &Arc<Mutex<Worker>>) {
     let (addr, zone) = {
         let w = worker.lock().expect("lock");
@@ -421,17 +455,18 @@
         let (world, worker) = (world2.clone(), worker.clone());
         serve(io, move |_, path, body| {
             let mut w = worker.lock().expect("lock");
-            if let Some(until) = w.hangs.filter(|_| w.hung()) {
+            if let Some(until) = w.hangs_until.filter(|_| w.is_hung()) {
                 let (world, worker, body) = (world.clone(), worker.clone(), body.to_vec());
                 if path == "/commands" {
                     tokio::spawn(async move {
                         sleep_until(until).await;
-                        command(&mut worker.lock().expect("lock"), &world, &body);
+                        handle_commands(&mut worker.lock().expect("lock"), &world, &body);
                     });
                 }
                 return None;
             }
-            let status = if path == "/commands" { command(&mut w, &world, body) } else { 200 };
+            let status =
+                if path == "/commands" { handle_commands(&mut w, &world, body) } else { 200 };
             if status == 400 {
                 return Some((400, json!({})));
             }
@@ -442,89 +477,90 @@
     world.net.open(&addr, Host::Workers(zone), Arc::new(accept));
 }
 
-/// Waits so long, or until something has changed, at least half a second.
-async fn pause(worker: &Mutex<Worker>, most: Duration) {
-    let (least, end) = (Instant::now() + Duration::from_millis(500), Instant::now() + most);
+/// Waits until anything has changed on the worker: half a second at least, `max_wait` at most.
+async fn wait_for_change(worker: &Mutex<Worker>, max_wait: Duration) {
+    let (min_end, end) = (Instant::now() + Duration::from_millis(500), Instant::now() + max_wait);
     loop {
-        sleep(STEP.min(end.saturating_duration_since(Instant::now()))).await;
+        sleep(UPDATE_INTERVAL.min(end.saturating_duration_since(Instant::now()))).await;
         let changed = worker.lock().expect("lock").changed;
-        if Instant::now() >= end || (changed && Instant::now() >= least) {
+        if Instant::now() >= end || (changed && Instant::now() >= min_end) {
             return;
         }
     }
 }
 
-/// Reports for ever: to one controller at a time, to the next where there is no answer.
+/// Reports until the machine is gone: to one controller at a time, and to the next one if there is no answer.
 pub async fn run(world: Arc<World>, worker: Arc<Mutex<Worker>>, seed: u64) {
     let (zone, report_ms, lease) = {
         let w = &world.settings.deployment.workers;
         let zone = worker.lock().expect("lock").zone;
         (zone, w.report_s * 1000.0, Duration::from_secs_f64(w.lease_s))
     };
-    let here = Host::Workers(zone);
+    let host = Host::Workers(zone);
     let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
     let mut to = seed as usize % world.count();
     sleep(Duration::from_millis(rng.random_range(0..report_ms as u64))).await;
     loop {
-        let hangs = worker.lock().expect("lock").hangs;
-        if let Some(until) = hangs.filter(|until| Instant::now() < *until) {
+        let hangs_until = worker.lock().expect("lock").hangs_until;
+        if let Some(until) = hangs_until.filter(|until| Instant::now() < *until) {
             sleep_until(until).await;
         }
-        let (body, shift, mute) = {
+        let (body, session, mute) = {
             let mut w = worker.lock().expect("lock");
             if w.gone {
                 return;
             }
-            w.pass(&world);
+            w.update_tasks(&world);
             w.changed = false;
-            (encode(&w.report(&world.zones)), w.shift, w.mute)
+            (encode(&w.report(&world.zones)), w.session, w.mute)
         };
         let sent = Instant::now();
-        // Copies come late, seconds to three leases, to whichever controller.
+        // A copy arrives at any controller one second to three leases later.
         if world.copies.load(std::sync::atomic::Ordering::Relaxed) && rng.random_bool(0.5) {
-            let late = Duration::from_millis(rng.random_range(1_000..lease.as_millis() as u64 * 3));
+            let delay =
+                Duration::from_millis(rng.random_range(1_000..lease.as_millis() as u64 * 3));
             let (world, body) = (world.clone(), body.clone());
             let other = rng.random_range(0..world.count());
             tokio::spawn(async move {
-                sleep(late).await;
-                let _ = timeout(ANSWER, world.ask(here, other, Op::Report, &body)).await;
+                sleep(delay).await;
+                let _ = timeout(ANSWER_TIMEOUT, world.ask(host, other, Op::Report, &body)).await;
             });
         }
-        world.keep_copy(here, &body);
+        world.keep_copy(host, &body);
         let exchange =
-            async { if mute { None } else { world.ask(here, to, Op::Report, &body).await } };
-        // Whatever is under way when its sender has given up still arrives.
+            async { if mute { None } else { world.ask(host, to, Op::Report, &body).await } };
+        // A report that is in flight when its sender gives up still arrives.
         let reply = tokio::select! {
             reply = exchange => reply,
-            () = sleep(ANSWER) => {
+            () = sleep(ANSWER_TIMEOUT) => {
                 let (world, body) = (world.clone(), body.clone());
                 tokio::spawn(async move {
-                    if timeout(Duration::from_secs(120), world.net.pass(here, Host::Controller(to))).await == Ok(true) {
+                    if timeout(Duration::from_secs(120), world.net.pass(host, Host::Controller(to))).await == Ok(true) {
                         world.door(to, Op::Report, &body).await;
                     }
                 });
                 None
             }
         };
-        // An answer that comes while the machine hangs is there when it goes on, if it then still waits for it.
-        let hangs = worker.lock().expect("lock").hangs;
-        if let Some(until) = hangs.filter(|until| Instant::now() < *until) {
+        // An answer that arrives while the machine hangs is read when it continues, unless the timeout is over by then.
+        let hangs_until = worker.lock().expect("lock").hangs_until;
+        if let Some(until) = hangs_until.filter(|until| Instant::now() < *until) {
             sleep_until(until).await;
         }
-        let reply = reply.filter(|_| sent.elapsed() <= ANSWER);
-        let next = Duration::from_millis((report_ms * rng.random_range(0.75..1.25)) as u64);
+        let reply = reply.filter(|_| sent.elapsed() <= ANSWER_TIMEOUT);
+        let interval = Duration::from_millis((report_ms * rng.random_range(0.75..1.25)) as u64);
         let orders = reply.as_ref().and_then(|r| rmp_serde::from_slice::<Orders>(&r.body).ok());
         match (reply.map(|r| r.status), orders) {
             (Some(200), Some(orders)) => {
                 let mut w = worker.lock().expect("lock");
-                if orders.warrant >= w.token && w.shift == shift && !w.gone {
-                    w.changed |= orders.warrant > w.token;
-                    w.token = orders.warrant;
-                    w.answered = sent;
+                if orders.term >= w.term && w.session == session && !w.gone {
+                    w.changed |= orders.term > w.term;
+                    w.term = orders.term;
+                    w.last_answered_sent_at = sent;
                     w.execute(&orders.orders, &world);
                 }
             }
-            (Some(421), Some(Orders { foreman: Some(name), .. })) => {
+            (Some(421), Some(Orders { leader: Some(name), .. })) => {
                 to = world.names.iter().position(|n| *n == name).unwrap_or(to);
                 sleep(Duration::from_millis(500)).await;
                 continue;
@@ -535,6 +571,6 @@
                 continue;
             }
         }
-        pause(&worker, next).await;
+        wait_for_change(&worker, interval).await;
     }
 }
