--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -1,5 +1,8 @@
-//! Users by the protocol: they submit through a balancer, repeat what is not accepted, poll, cancel; and look closely,
-//! at all controllers within milliseconds. Each answer is held against all that arrived before its request was sent.
+//! Emulated users that speak the API.
+//!
+//! They submit jobs through a load balancer, repeat submissions that are not accepted, poll and cancel, and send bursts of
+//! queries to all controllers within milliseconds. Each answer is checked against all answers that had arrived before its
+//! request was sent.
 
 use crate::World;
 use crate::network::Host;
@@ -13,35 +16,37 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// What jobs users submit.
+/// The kinds of jobs that users submit.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Mix {
-    /// Arrays of six.
+    /// Arrays of six tasks.
     Plain,
-    /// Arrays, gangs and services of two teams, bound to a zone, spread or in one, urgent and not.
+    /// Arrays, gangs and services of two teams: some bound to a zone, some spread over zones, some in one zone, some with a
+    /// higher priority.
     All,
-    /// One task each.
+    /// Arrays of one task.
     Single,
 }
 
 /// What users do.
 #[derive(Clone, Copy)]
 pub struct Habits {
-    /// A job is submitted so often.
+    /// Interval between submissions.
     pub every: Duration,
-    /// How long tasks run: longer than leases, or a lost lease would find nothing to end.
+    /// Run time of tasks; longer than a lease, since otherwise no task would be left for an expired lease to end.
     pub run: Duration,
-    /// Of twelve jobs so many are cancelled, some seconds after they were accepted.
+    /// How many of every twelve jobs are cancelled, 2 to 22 s after they were accepted.
     pub cancel: u64,
-    /// CPUs that a team may use at most.
+    /// Maximum number of CPUs that a team may use.
     pub limit: usize,
+    /// The kinds of jobs.
     pub mix: Mix,
-    /// They ask everybody within milliseconds after each job was accepted, ended or cancelled, repeat the submission,
-    /// and some cancel at once.
+    /// Whether they query all controllers within milliseconds after each job was accepted, ended or cancelled, repeat the
+    /// submission then, and cancel some jobs at once.
     pub looks: bool,
-    /// They send jobs that lack a field or fit no machine, and cancel jobs that are done.
+    /// Whether they also send jobs that lack a field or fit no machine, and cancel jobs that are done.
     pub odd: bool,
-    /// Machines that the cloud has to rent.
+    /// Number of machines that the cloud can rent out.
     pub rentable: usize,
 }
 
@@ -54,7 +59,7 @@
 }
 
 impl Habits {
-    /// How long a task of this job runs.
+    /// Returns how long a task of this job runs.
     pub fn run_of(&self, job: &JobBody, task: u32) -> Duration {
         match (job.kind, job.class.as_str()) {
             (JobKind::Service, _) => Duration::from_secs(1_000_000),
@@ -63,9 +68,10 @@
         }
     }
 
+    /// Returns the `n`th job to submit.
     fn job(&self, n: u64) -> JobBody {
         let uid = format!("wk-{n:06}");
-        let plain = JobBody {
+        let array = JobBody {
             class: "c".into(),
             tasks: 6,
             mem_gb: 1.0,
@@ -75,132 +81,147 @@
             ..for_tests::body(&uid)
         };
         match self.mix {
-            Mix::Plain => return plain,
-            Mix::Single => return JobBody { tasks: 1, class: "one".into(), ..plain },
+            Mix::Plain => return array,
+            Mix::Single => return JobBody { tasks: 1, class: "one".into(), ..array },
             Mix::All => {}
         }
-        let owner = ["red", "blue"][(n / 2 % 2) as usize].to_string();
-        let cargo = format!("img-{}", n % 3);
-        let yard = Some(["north", "south", "west"][(n % 3) as usize].to_string());
-        let plain = JobBody { team: owner, image: cargo, image_gb: 0.4, ..plain };
+        let team = ["red", "blue"][(n / 2 % 2) as usize].to_string();
+        let image = format!("img-{}", n % 3);
+        let zone = Some(["north", "south", "west"][(n % 3) as usize].to_string());
+        let array = JobBody { team, image, image_gb: 0.4, ..array };
         let gang =
-            JobBody { kind: JobKind::Gang, class: "gang".into(), cpus: 2.0, ..plain.clone() };
+            JobBody { kind: JobKind::Gang, class: "gang".into(), cpus: 2.0, ..array.clone() };
         match n % 11 {
-            0 | 1 => plain,
+            0 | 1 => array,
             2 => JobBody { tasks: 3, ..gang },
             3 => JobBody { tasks: 2, cpus: 4.0, one_zone: true, priority: Priority::High, ..gang },
-            4 => JobBody { tasks: 4, class: "zone".into(), zone: yard, ..plain },
+            4 => JobBody { tasks: 4, class: "zone".into(), zone, ..array },
             5 => JobBody {
                 tasks: 3,
                 cpus: 2.0,
                 class: "urgent".into(),
                 priority: Priority::High,
-                ..plain
+                ..array
             },
             6 => JobBody {
                 tasks: 3,
                 kind: JobKind::Service,
                 class: "svc".into(),
                 spread: true,
-                ..plain
+                ..array
             },
-            7 | 8 => JobBody { tasks: 2 + n % 2, class: "apart".into(), ..plain },
-            9 => JobBody { tasks: 2, class: "bound".into(), zone: yard, ..gang },
-            _ => JobBody { tasks: 5, class: "near".into(), one_zone: true, ..plain },
+            7 | 8 => JobBody { tasks: 2 + n % 2, class: "apart".into(), ..array },
+            9 => JobBody { tasks: 2, class: "bound".into(), zone, ..gang },
+            _ => JobBody { tasks: 5, class: "near".into(), one_zone: true, ..array },
         }
     }
 }
 
-/// What users met.
+/// What users have observed.
 #[derive(Default)]
 pub struct Users {
+    /// Accepted jobs, and how long the submission took.
     pub accepted: BTreeMap<String, Duration>,
+    /// Submissions that were sent without being accepted.
     pub refused: usize,
+    /// Jobs that are being submitted, and since when.
     pub waiting: BTreeMap<String, Instant>,
+    /// The longest time until a submission was accepted.
     pub worst: Duration,
-    /// When the first answer arrived that a job is accepted; and that it is over, and how.
-    known: BTreeMap<String, Instant>,
-    over: BTreeMap<String, (Instant, String)>,
-    /// When a question about each accepted job was answered last.
-    told: BTreeMap<String, Instant>,
-    /// Jobs whose users have asked to cancel them.
+    /// When the first answer arrived by which a job is accepted.
+    known_since: BTreeMap<String, Instant>,
+    /// When the first answer arrived by which a job is finished, and its final status.
+    finished: BTreeMap<String, (Instant, String)>,
+    /// When a query about each accepted job was last answered.
+    last_answered: BTreeMap<String, Instant>,
+    /// Jobs whose cancellation was requested.
     pub asked: BTreeSet<String>,
-    /// Nobody submits any more: what waits from then on waits for room that is there, not for others that come.
+    /// Whether users have stopped submitting: from then on, jobs wait for capacity that is already there, and no longer
+    /// compete with new ones.
     pub enough: bool,
-    /// When all troubles were over; from then on the longest that questions about one job went unanswered.
+    /// When all faults were over.
     pub calm: Option<Instant>,
+    /// The longest time after that for which queries about one job went unanswered.
     pub unanswered: Duration,
-    /// Answers to close looks that said something, and those that put it off.
+    /// Queries in bursts that were answered, and those that got no answer or a 5xx status.
     pub looks: (usize, usize),
-    /// Bad submissions that were turned away.
+    /// Answers to invalid submissions.
     pub bad: usize,
-    /// What users met that must not be, beside what is held at once.
+    /// Broken rules, except those that are asserted at once.
     pub wrong: Vec<String>,
 }
 
 impl Users {
-    fn answered(&mut self, uid: &str, begun: Instant, taken: bool) {
-        self.refused += usize::from(!taken);
-        if taken {
+    /// Records the outcome of one attempt to submit a job.
+    fn record_submission(&mut self, uid: &str, begun: Instant, accepted: bool) {
+        self.refused += usize::from(!accepted);
+        if accepted {
             let took = begun.elapsed();
             self.waiting.remove(uid);
             self.worst = self.worst.max(took);
             self.accepted.insert(uid.into(), took);
-            self.told.entry(uid.into()).or_insert(Instant::now());
+            self.last_answered.entry(uid.into()).or_insert(Instant::now());
         }
     }
 
-    fn looked(&mut self, answered: bool) {
+    /// Counts one query of a burst.
+    fn count_burst_query(&mut self, answered: bool) {
         *(if answered { &mut self.looks.0 } else { &mut self.looks.1 }) += 1;
     }
 
-    /// How long questions about a job have gone unanswered by now, since the troubles were over.
+    /// Returns for how long queries about a job have gone unanswered by now, counted from the end of the faults at the
+    /// earliest.
     pub fn silence(&self, uid: &str) -> Duration {
-        let since = self.told.get(uid).copied().max(self.calm);
+        let since = self.last_answered.get(uid).copied().max(self.calm);
         self.calm.and(since).map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// A question or request about a job was answered with its state. What was sent after another answer had arrived
-    /// must not be answered with anything older; and there is one end.
-    pub fn told(&mut self, uid: &str, status: &str, sent: Instant) {
+    /// Records an answer with a job's status and checks it: a request that was sent after another answer had arrived must
+    /// not be answered with an older status, and a job has only one final status.
+    pub fn record_status_answer(&mut self, uid: &str, status: &str, sent: Instant) {
         self.unanswered = self.unanswered.max(self.silence(uid));
-        self.told.insert(uid.into(), Instant::now());
-        self.known.entry(uid.into()).or_insert(Instant::now());
-        let over = matches!(status, "done" | "aborted");
-        if let Some((at, end)) = self.over.get(uid) {
-            let crossed = !over && sent <= *at;
-            assert!(end == status || crossed, "went_back: {uid} is {status}, was {end}");
-        } else if over {
-            self.over.insert(uid.into(), (Instant::now(), status.into()));
+        self.last_answered.insert(uid.into(), Instant::now());
+        self.known_since.entry(uid.into()).or_insert(Instant::now());
+        let finished = matches!(status, "done" | "aborted");
+        if let Some((at, final_status)) = self.finished.get(uid) {
+            let sent_before = !finished && sent <= *at;
+            assert!(
+                final_status == status || sent_before,
+                "went_back: {uid} is {status}, was {final_status}"
+            );
+        } else if finished {
+            self.finished.insert(uid.into(), (Instant::now(), status.into()));
         }
-        let wanted = status != "aborted" || self.asked.contains(uid);
-        assert!(wanted, "went_back: {uid}, which nobody cancelled");
+        let requested = status != "aborted" || self.asked.contains(uid);
+        assert!(requested, "went_back: {uid}, which nobody cancelled");
     }
 
-    /// A request about a job that was submitted was answered 404, 400 or 422.
-    fn denied(&self, uid: &str, status: u16, sent: Instant) {
-        let known = self.known.get(uid).is_some_and(|at| sent > *at);
+    /// Checks a 404, 400 or 422 answer about a submitted job: it must not come to a request that was sent after the job was
+    /// known to be accepted.
+    fn check_denied(&self, uid: &str, status: u16, sent: Instant) {
+        let known = self.known_since.get(uid).is_some_and(|at| sent > *at);
         assert!(!known, "forgotten: {uid} gets {status}");
     }
 
-    /// Accepted jobs that are not over, as far as anybody was told, and that nobody wants cancelled.
+    /// Returns the accepted jobs that no answer has reported as finished and whose cancellation was not requested.
     pub fn open(&self) -> impl Iterator<Item = &String> {
-        let over = |uid: &String| self.over.contains_key(uid) || self.asked.contains(uid);
-        self.accepted.keys().filter(move |uid| !over(uid))
+        let closed = |uid: &String| self.finished.contains_key(uid) || self.asked.contains(uid);
+        self.accepted.keys().filter(move |uid| !closed(uid))
     }
 }
 
 impl World {
-    fn wrong(&self, what: String) {
-        self.users.lock().expect("lock").wrong.push(what);
+    /// Records a broken rule.
+    fn record_wrong(&self, text: String) {
+        self.users.lock().expect("lock").wrong.push(text);
     }
 
-    /// A user was told what state a job is in.
-    fn tell(self: &Arc<Self>, uid: &str, status: &str, sent: Instant) {
+    /// Records that a job's status was reported to a user, and checks it against what workers did.
+    fn record_status(self: &Arc<Self>, uid: &str, status: &str, sent: Instant) {
         let first = {
             let mut users = self.users.lock().expect("lock");
-            let first = !users.over.contains_key(uid);
-            users.told(uid, status, sent);
+            let first = !users.finished.contains_key(uid);
+            users.record_status_answer(uid, status, sent);
             first
         };
         let mut checker = self.checker.lock().expect("lock");
@@ -217,7 +238,8 @@
         }
     }
 
-    /// What an answer to a question, a cancellation or a repeated submission says of a job. None: nothing.
+    /// Records and checks the answer to a query, a cancellation or a submission. Returns the job's status, or `None` if there
+    /// is no answer or it holds no status.
     pub fn heard(
         self: &Arc<Self>,
         uid: &str,
@@ -227,22 +249,23 @@
         let reply = reply?;
         match reply.status {
             200 | 201 => {
-                let shown = rmp_serde::from_slice::<JobStatus>(&reply.body).expect("a job");
-                self.tell(uid, &shown.status, sent);
-                Some(shown.status)
+                let job = rmp_serde::from_slice::<JobStatus>(&reply.body).expect("a job");
+                self.record_status(uid, &job.status, sent);
+                Some(job.status)
             }
             404 | 400 | 422 => {
-                self.users.lock().expect("lock").denied(uid, reply.status, sent);
+                self.users.lock().expect("lock").check_denied(uid, reply.status, sent);
                 None
             }
             _ => None,
         }
     }
 
-    /// Asks all controllers within milliseconds, several times over, and repeats the submission at each.
+    /// Queries all controllers several times within milliseconds, and repeats the submission at each. With `cancels`, also
+    /// cancels the job.
     pub fn look(self: &Arc<Self>, uid: &str, cancels: bool) {
         for to in 0..self.count() {
-            for (after, op) in [
+            for (delay_ms, op) in [
                 (0, Op::Show),
                 (1, Op::Submit),
                 (3, Op::Show),
@@ -259,14 +282,15 @@
                 }
                 let (world, uid) = (self.clone(), uid.to_string());
                 tokio::spawn(async move {
-                    sleep(Duration::from_millis(after)).await;
-                    world.ask_once(&uid, to, op).await;
+                    sleep(Duration::from_millis(delay_ms)).await;
+                    world.send_once(&uid, to, op).await;
                 });
             }
         }
     }
 
-    async fn ask_once(self: &Arc<Self>, uid: &str, to: usize, op: Op) -> Option<String> {
+    /// Sends one request of a burst. Returns the job's status if the answer holds it.
+    async fn send_once(self: &Arc<Self>, uid: &str, to: usize, op: Op) -> Option<String> {
         if self.is_down(to) {
             return None;
         }
@@ -281,42 +305,43 @@
             self.users.lock().expect("lock").asked.insert(uid.into());
         }
         let sent = Instant::now();
-        let limit = Duration::from_secs(if op == Op::Show { 2 } else { 5 });
-        let reply = timeout(limit, self.ask(Host::Users, to, op, &body)).await.ok().flatten();
+        let answer_timeout = Duration::from_secs(if op == Op::Show { 2 } else { 5 });
+        let reply =
+            timeout(answer_timeout, self.ask(Host::Users, to, op, &body)).await.ok().flatten();
         let answered = reply.as_ref().is_some_and(|r| r.status < 500);
-        self.users.lock().expect("lock").looked(answered);
+        self.users.lock().expect("lock").count_burst_query(answered);
         self.heard(uid, reply, sent)
     }
 
-    /// Users call off so many jobs that run, all at once; with `hang`, up to eight of their machines hang so long.
+    /// Cancels `n` running jobs within a fifth of a second. With `hang`, up to eight of their machines hang for so long.
     pub fn cancel_now(self: &Arc<Self>, n: usize, hang: Duration) {
         let open: Vec<String> = self.users.lock().expect("lock").open().cloned().collect();
         let workers = self.workers.lock().expect("lock").clone();
-        let (mut called, mut hung) = (BTreeSet::new(), 0);
+        let (mut chosen, mut hung) = (BTreeSet::new(), 0);
         for worker in workers {
             let mut w = worker.lock().expect("lock");
-            let job = w.runs().map(|p| crate::checker::parts(p).0.to_string());
-            let Some(job) = job.into_iter().find(|j| open.contains(j) && !called.contains(j))
+            let jobs = w.runs().map(|task_id| crate::checker::parts(task_id).0.to_string());
+            let Some(job) = jobs.into_iter().find(|j| open.contains(j) && !chosen.contains(j))
             else {
                 continue;
             };
-            if called.len() == n {
+            if chosen.len() == n {
                 break;
             }
-            called.insert(job);
+            chosen.insert(job);
             if !hang.is_zero() && hung < 8 {
                 hung += 1;
                 w.hang(hang);
                 crate::workers::tear(self, &w);
             }
         }
-        for (n, uid) in called.into_iter().enumerate() {
+        for (n, uid) in chosen.into_iter().enumerate() {
             tokio::spawn(cancel(self.clone(), uid, n, Duration::from_millis(n as u64 * 13 % 200)));
         }
     }
 }
 
-/// Submit a job every so often through a balancer that sends them to controllers that are up, until it is enough.
+/// Submits a job at each interval through a load balancer that picks controllers that are ready, until `enough` is set.
 pub async fn run(world: Arc<World>) {
     let mut n = 0u64;
     loop {
@@ -326,19 +351,20 @@
         }
         n += 1;
         if world.habits.odd && n.is_multiple_of(3) {
-            tokio::spawn(odd(world.clone(), n));
+            tokio::spawn(submit_invalid(world.clone(), n));
         }
         tokio::spawn(submit(world.clone(), n));
     }
 }
 
+/// Submits the `n`th job, up to 60 times, then polls it; cancels it if it is one of those that are cancelled.
 async fn submit(world: Arc<World>, n: u64) {
     let job = world.habits.job(n);
     let (uid, service) = (job.uid.clone(), job.kind == JobKind::Service);
     let body = encode(&job);
     world.checker.lock().expect("lock").jobs.insert(uid.clone(), Arc::new(job));
     world.users.lock().expect("lock").waiting.insert(uid.clone(), Instant::now());
-    // Questions that meet the acceptance on its way.
+    // Queries that arrive while the acceptance is being recorded.
     if world.habits.looks {
         world.look(&uid, false);
     }
@@ -348,28 +374,28 @@
         let sent = Instant::now();
         let exchange = world.ask(Host::Users, to, Op::Submit, &body);
         let reply = timeout(Duration::from_secs(5), exchange).await.ok().flatten();
-        let taken = reply.as_ref().is_some_and(|r| r.status == 200 || r.status == 201);
-        world.users.lock().expect("lock").answered(&uid, begun, taken);
+        let accepted = reply.as_ref().is_some_and(|r| r.status == 200 || r.status == 201);
+        world.users.lock().expect("lock").record_submission(&uid, begun, accepted);
         world.heard(&uid, reply, sent);
-        if taken {
+        if accepted {
             if world.habits.looks {
                 world.look(&uid, n.is_multiple_of(5));
             }
             if n * 5 % 12 < world.habits.cancel || service {
-                let after = Duration::from_millis(2_000 + (n * 7_919) % 20_000);
-                tokio::spawn(cancel(world.clone(), uid.clone(), n as usize, after));
+                let delay = Duration::from_millis(2_000 + (n * 7_919) % 20_000);
+                tokio::spawn(cancel(world.clone(), uid.clone(), n as usize, delay));
             }
             return poll(world, uid, n as usize).await;
         }
         sleep(Duration::from_secs(1)).await;
     }
-    world.wrong(format!("{uid} was turned away for a minute"));
+    world.record_wrong(format!("{uid} was not accepted within 60 attempts"));
 }
 
-/// Cancels an accepted job after so long, and asks again each second until that is answered.
-async fn cancel(world: Arc<World>, uid: String, n: usize, after: Duration) {
-    sleep(after).await;
-    // Questions that meet the cancellation on its way.
+/// Cancels an accepted job after `delay`, and repeats the request each second until it is answered with a status.
+async fn cancel(world: Arc<World>, uid: String, n: usize, delay: Duration) {
+    sleep(delay).await;
+    // Queries that arrive while the cancellation is being recorded.
     if world.habits.looks {
         world.look(&uid, false);
     }
@@ -380,7 +406,7 @@
         let reply = timeout(Duration::from_secs(5), exchange).await.ok().flatten();
         if let Some(status) = world.heard(&uid, reply, sent) {
             if !matches!(status.as_str(), "aborted" | "done") {
-                world.wrong(format!("cancelled, {uid} is {status}"));
+                world.record_wrong(format!("cancelled, {uid} is {status}"));
             }
             return;
         }
@@ -388,25 +414,26 @@
     }
 }
 
-/// Asks about an accepted job every 5 s for ever, waiting 2 s for an answer, done or not.
+/// Queries an accepted job every 5 s with a timeout of 2 s, without end, also once the job is done.
 async fn poll(world: Arc<World>, uid: String, n: usize) {
     for attempt in n.. {
         sleep(Duration::from_secs(5)).await;
-        let up: Vec<usize> = (0..world.count())
+        let ready: Vec<usize> = (0..world.count())
             .filter(|ix| !world.is_down(*ix) && world.node(*ix).is_ready())
             .collect();
-        if up.is_empty() {
+        if ready.is_empty() {
             continue;
         }
         let sent = Instant::now();
-        let exchange = world.ask(Host::Users, up[attempt % up.len()], Op::Show, uid.as_bytes());
+        let exchange =
+            world.ask(Host::Users, ready[attempt % ready.len()], Op::Show, uid.as_bytes());
         let reply = timeout(Duration::from_secs(2), exchange).await.ok().flatten();
         world.heard(&uid, reply, sent);
     }
 }
 
-/// Sends jobs that can't be taken, to all controllers; none may be accepted, and none of these ids be known.
-async fn odd(world: Arc<World>, n: u64) {
+/// Sends an invalid job to all controllers: none may accept it, and its id must stay unknown.
+async fn submit_invalid(world: Arc<World>, n: u64) {
     let uid = format!("wk-9{n:06}");
     let good = JobBody { uid: uid.clone(), ..world.habits.job(n) };
     let without = |field: &str| {
@@ -415,33 +442,36 @@
         map.remove(field);
         (400, field.to_string(), encode(&map))
     };
-    let never = |body: JobBody| (422, String::new(), encode(&body));
+    let unplaceable = |body: JobBody| (422, String::new(), encode(&body));
     let cases = [
         without("parcels"),
         without("precedence"),
         without("loaners"),
         without("memGb"),
-        never(JobBody { cpus: 9.0, ..good.clone() }),
-        never(JobBody { team: "green".into(), ..good.clone() }),
-        never(JobBody { zone: Some("east".into()), ..good.clone() }),
-        never(JobBody { machine_types: Some(vec!["m9".into()]), ..good.clone() }),
+        unplaceable(JobBody { cpus: 9.0, ..good.clone() }),
+        unplaceable(JobBody { team: "green".into(), ..good.clone() }),
+        unplaceable(JobBody { zone: Some("east".into()), ..good.clone() }),
+        unplaceable(JobBody { machine_types: Some(vec!["m9".into()]), ..good.clone() }),
     ];
     let (status, field, body) = &cases[(n / 3) as usize % cases.len()];
     for to in (0..world.count()).filter(|to| !world.is_down(*to)) {
-        let ask = |op, body| timeout(Duration::from_secs(5), world.ask(Host::Users, to, op, body));
-        if let Ok(Some(r)) = ask(Op::Submit, body).await
+        let send = |op, body| timeout(Duration::from_secs(5), world.ask(Host::Users, to, op, body));
+        if let Ok(Some(r)) = send(Op::Submit, body).await
             && r.status < 500
         {
-            let why = String::from_utf8_lossy(&r.body).to_string();
-            if r.status != *status || !why.contains(field.as_str()) {
-                world.wrong(format!("{uid}: {status} for {field} expected, {} {why}", r.status));
+            let reason = String::from_utf8_lossy(&r.body).to_string();
+            if r.status != *status || !reason.contains(field.as_str()) {
+                world.record_wrong(format!(
+                    "{uid}: {status} for {field} expected, {} {reason}",
+                    r.status
+                ));
             }
             world.users.lock().expect("lock").bad += 1;
         }
-        if let Ok(Some(r)) = ask(Op::Show, uid.as_bytes()).await
+        if let Ok(Some(r)) = send(Op::Show, uid.as_bytes()).await
             && r.status == 200
         {
-            world.wrong(format!("invented: {uid}"));
+            world.record_wrong(format!("invented: {uid}"));
         }
     }
 }
