--- a/crates/controller/tests/world/checker.rs
+++ b/crates/controller/tests/world/checker.rs
@@ -1,4 +1,4 @@
-//! Counts at the workers; the rules are told by it, never by what the service says of itself.
+//! Checks the rules by what workers and users observe, never by what the controllers report about themselves.
 
 use copperhaven_wire::jobs::{JobBody, JobKind};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,189 +6,220 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// `cancel_s` of the settings.
+/// The setting `cancel_s`: the longest time for which a task may be present after its job's confirmed cancellation.
 pub const CANCEL: Duration = Duration::from_secs(35);
 
-/// A response that takes longer is dropped by its worker: no `run` decided before a confirmation is carried out later.
-const ANSWER: Duration = Duration::from_secs(4);
+/// A worker drops an answer that takes longer, so a `run` that was decided before a confirmed cancellation cannot be
+/// carried out later than this after it.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Where a task is.
+/// Where a task runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Place {
+    /// The machine's id.
     pub machine: String,
+    /// Its zone.
     pub zone: &'static str,
+    /// Its machine type.
     pub berth: &'static str,
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
+/// Tasks on all machines, and what users know about their jobs.
 #[derive(Default)]
 pub struct Checker {
-    /// CPUs that a team may use at most.
-    limit: f64,
-    /// What users have submitted, by id.
+    /// Maximum number of CPUs that a team may use.
+    max_team_cpus: f64,
+    /// Submitted jobs, by id.
     pub jobs: BTreeMap<String, Arc<JobBody>>,
-    on: BTreeMap<String, Place>,
+    /// Where tasks that have their image and have not ended run, by task id.
+    placements: BTreeMap<String, Place>,
+    /// Tasks killed because the lease of their worker ended.
     pub killed: usize,
+    /// Tasks started.
     pub started: usize,
+    /// Number of tasks that are done, by job.
     pub done: BTreeMap<String, u32>,
-    /// When users were first told that these jobs are cancelled.
+    /// When the cancellation of these jobs was first reported to users.
     pub cancelled: BTreeMap<String, Instant>,
-    /// The longest that a task was still there after that.
+    /// The longest time for which a task was still present after that.
     pub lingered: Duration,
-    /// Starts after a confirmed cancellation, whose orders were on their way.
+    /// Tasks that started after a confirmed cancellation, by orders that were in flight.
     pub started_late: usize,
-    ended: BTreeSet<String>,
-    /// Since when a job waits though a machine that fits has room and its team is under its limit.
-    idle: BTreeMap<String, Instant>,
+    /// Tasks that are done.
+    done_tasks: BTreeSet<String>,
+    /// Since when each job has waited although suitable machines have free capacity and its team is below its limit.
+    waiting_since: BTreeMap<String, Instant>,
+    /// The longest such wait.
     pub idle_longest: Duration,
 }
 
-/// The job and the number of a task.
-pub fn parts(parcel: &str) -> (&str, u32) {
-    let (job, task) = parcel.split_once('/').unwrap_or((parcel, "0"));
-    (job, task.parse().unwrap_or_default())
+/// Splits a task id into the job and the task's index.
+pub fn parts(task_id: &str) -> (&str, u32) {
+    let (job, index) = task_id.split_once('/').unwrap_or((task_id, "0"));
+    (job, index.parse().unwrap_or_default())
 }
 
 impl Checker {
-    pub fn new(limit: usize) -> Checker {
-        Checker { limit: limit as f64, ..Checker::default() }
+    /// Creates a checker for teams that may use at most `max_team_cpus` CPUs each.
+    pub fn new(max_team_cpus: usize) -> Checker {
+        Checker { max_team_cpus: max_team_cpus as f64, ..Checker::default() }
     }
 
-    /// A `run` is carried out.
-    pub fn ordered(&self, parcel: &str) {
-        let told = self.cancelled.get(parts(parcel).0).map(Instant::elapsed);
+    /// Checks a `run` order that a worker carries out.
+    pub fn ordered(&self, task_id: &str) {
+        let since_cancelled = self.cancelled.get(parts(task_id).0).map(Instant::elapsed);
         assert!(
-            told.is_none_or(|since| since <= ANSWER + Duration::from_millis(100)),
-            "started after a confirmed cancellation: {parcel}, {told:?} later"
+            since_cancelled
+                .is_none_or(|since| since <= ANSWER_TIMEOUT + Duration::from_millis(100)),
+            "started after a confirmed cancellation: {task_id}, {since_cancelled:?} later"
         );
     }
 
-    /// A task has its image: from here on it is on its machine.
-    pub fn on(&mut self, parcel: &str, place: Place) {
-        let job = parts(parcel).0;
-        let body = self.jobs.get(job).cloned().unwrap_or_else(|| panic!("no such job: {parcel}"));
-        let mates: Vec<&Place> =
-            self.on.iter().filter(|(p, _)| parts(p).0 == job).map(|(_, at)| at).collect();
-        let fits = body.zone.as_ref().is_none_or(|y| y == place.zone)
-            && body.machine_types.as_ref().is_none_or(|b| b.iter().any(|b| b == place.berth))
+    /// Records that a task has its image and runs on its machine from now on, and checks the place.
+    pub fn on(&mut self, task_id: &str, place: Place) {
+        let job = parts(task_id).0;
+        let body = self.jobs.get(job).cloned().unwrap_or_else(|| panic!("no such job: {task_id}"));
+        let job_places: Vec<&Place> = self
+            .placements
+            .iter()
+            .filter(|(other, _)| parts(other).0 == job)
+            .map(|(_, at)| at)
+            .collect();
+        let fits = body.zone.as_ref().is_none_or(|zone| zone == place.zone)
+            && body
+                .machine_types
+                .as_ref()
+                .is_none_or(|types| types.iter().any(|t| t == place.berth))
             && (body.spot || !place.spot)
-            && (!body.one_zone || mates.iter().all(|m| m.zone == place.zone));
-        let beside = 1 + mates.iter().filter(|m| m.zone == place.zone).count() as u64;
-        let spread = !body.spread || beside <= body.tasks.div_ceil(2);
-        assert!(fits && spread, "wrong_place: {parcel} on {place:?} beside {mates:?}");
+            && (!body.one_zone || job_places.iter().all(|p| p.zone == place.zone));
+        let in_zone = 1 + job_places.iter().filter(|p| p.zone == place.zone).count() as u64;
+        let spread = !body.spread || in_zone <= body.tasks.div_ceil(2);
+        assert!(
+            fits && spread,
+            "wrong_place: {task_id} on {place:?}, others of the job on {job_places:?}"
+        );
         self.started_late += usize::from(self.cancelled.contains_key(job));
-        let before = self.on.insert(parcel.into(), place.clone());
-        assert!(before.is_none(), "ran_twice: {parcel} on {place:?} and {before:?}");
+        let before = self.placements.insert(task_id.into(), place.clone());
+        assert!(before.is_none(), "ran_twice: {task_id} on {place:?} and {before:?}");
         self.started += 1;
         self.check(CANCEL);
     }
 
-    fn used(&self, owner: &str) -> f64 {
-        let cpus = |parcel: &String| {
-            let body = &self.jobs[parts(parcel).0];
-            if body.team == owner { body.cpus } else { 0.0 }
+    /// Returns the CPUs that a team's running tasks use.
+    fn used_cpus(&self, team: &str) -> f64 {
+        let cpus = |task_id: &String| {
+            let body = &self.jobs[parts(task_id).0];
+            if body.team == team { body.cpus } else { 0.0 }
         };
-        self.on.keys().map(cpus).sum()
+        self.placements.keys().map(cpus).sum()
     }
 
-    /// No task of a job of which its user was told that it is cancelled is anywhere after `most`; and each team's
-    /// limit holds.
-    pub fn check(&mut self, most: Duration) {
-        for owner in ["red", "blue"] {
-            let used = self.used(owner);
-            assert!(used <= self.limit, "quota: {owner} uses {used}");
+    /// Checks that no task is present longer than `max_linger` after its job's cancellation was reported to a user, and that
+    /// each team keeps its limit.
+    pub fn check(&mut self, max_linger: Duration) {
+        for team in ["red", "blue"] {
+            let used = self.used_cpus(team);
+            assert!(used <= self.max_team_cpus, "quota: {team} uses {used}");
         }
-        for (parcel, at) in &self.on {
-            let Some(told) = self.cancelled.get(parts(parcel).0) else { continue };
-            let since = told.elapsed();
+        for (task_id, place) in &self.placements {
+            let Some(cancelled_at) = self.cancelled.get(parts(task_id).0) else { continue };
+            let since = cancelled_at.elapsed();
             self.lingered = self.lingered.max(since);
-            assert!(since <= most, "ran_cancelled: {parcel} on {at:?} after {since:?}");
+            assert!(since <= max_linger, "ran_cancelled: {task_id} on {place:?} after {since:?}");
         }
     }
 
-    /// A task is on its machine no more.
-    pub fn off(&mut self, parcel: &str, machine: &str, done: bool) {
-        let was = self.on.remove(parcel).map(|at| at.machine);
-        assert_eq!(was.as_deref(), Some(machine), "{parcel}");
+    /// Records that a task has left its machine, and whether it is done.
+    pub fn off(&mut self, task_id: &str, machine: &str, done: bool) {
+        let recorded = self.placements.remove(task_id).map(|place| place.machine);
+        assert_eq!(recorded.as_deref(), Some(machine), "{task_id}");
         if done {
-            self.end(parcel);
+            self.end(task_id);
         }
     }
 
-    /// A task is done: its result is kept.
-    pub fn end(&mut self, parcel: &str) {
-        if self.ended.insert(parcel.into()) {
-            *self.done.entry(parts(parcel).0.into()).or_default() += 1;
+    /// Records that a task is done; its result is stored.
+    pub fn end(&mut self, task_id: &str) {
+        if self.done_tasks.insert(task_id.into()) {
+            *self.done.entry(parts(task_id).0.into()).or_default() += 1;
         }
     }
 
-    /// Its result is kept: started again, it is done at once.
-    pub fn has_ended(&self, parcel: &str) -> bool {
-        self.ended.contains(parcel)
+    /// Returns whether a task is done. Its result is stored, so if it is started again, it is done at once.
+    pub fn has_ended(&self, task_id: &str) -> bool {
+        self.done_tasks.contains(task_id)
     }
 
+    /// Returns how many tasks of a job are done, and how many it has.
     pub fn done_of(&self, uid: &str) -> (u32, u64) {
         let all = self.jobs.get(uid).map_or(0, |b| b.tasks);
         (self.done.get(uid).copied().unwrap_or(0), all)
     }
 
-    /// Once all troubles are over: how long each accepted job that nobody has cancelled has waited while a machine that
-    /// fits has room and its team is under its limit. `free`: zone, and CPUs and memory that are left, of each machine
-    /// that is up; `held`: the tasks that have places there, of which those that wait for their image take of the limit
-    /// as well. One that has waited for 90 s, if there is any.
+    /// Measures, once all faults are over, how long each job of `open` has waited while suitable machines have free capacity
+    /// and its team is below its limit. `open` holds the accepted jobs whose cancellation was not requested. `free` holds
+    /// zone, free CPUs and free memory in GB of each machine that is up. `allocated` holds the tasks on these machines with
+    /// their CPUs; tasks whose image is still being pulled count against the limit as well. Returns a job that has waited
+    /// for more than 90 s, if there is one.
     pub fn look_for_idle<'a>(
         &mut self,
         open: impl Iterator<Item = &'a String>,
         free: &[(&'static str, f64, f64)],
-        held: &[(String, f64)],
+        allocated: &[(String, f64)],
     ) -> Option<String> {
-        let mut idle = BTreeMap::new();
+        let mut waiting_since = BTreeMap::new();
         for uid in open {
             let Some(body) = self.jobs.get(uid) else { continue };
             let missing = (0..body.tasks)
                 .filter(|t| {
-                    let parcel = format!("{uid}/{t}");
-                    !self.on.contains_key(&parcel) && !self.ended.contains(&parcel)
+                    let task_id = format!("{uid}/{t}");
+                    !self.placements.contains_key(&task_id) && !self.done_tasks.contains(&task_id)
                 })
                 .count() as f64;
             if missing == 0.0 {
                 continue;
             }
-            let room = |zone: Option<&str>| -> f64 {
-                let fits = free.iter().filter(|(z, ..)| zone.is_none_or(|zone| zone == *z));
-                fits.map(|(_, cpus, mem)| (cpus / body.cpus).min(mem / body.mem_gb).floor()).sum()
+            let capacity = |zone: Option<&str>| -> f64 {
+                let machines = free.iter().filter(|(z, ..)| zone.is_none_or(|zone| zone == *z));
+                machines
+                    .map(|(_, cpus, mem_gb)| (cpus / body.cpus).min(mem_gb / body.mem_gb).floor())
+                    .sum()
+            };
+            // The zone that the job asks for, or with `one_zone` that of its tasks that run.
+            let zone_of_tasks = || {
+                self.placements.iter().find(|(t, _)| parts(t).0 == uid).map(|(_, place)| place.zone)
             };
-            // Bound to a zone, or to that of its tasks that are there.
-            let mates = || self.on.iter().find(|(p, _)| parts(p).0 == uid).map(|(_, at)| at.zone);
-            let zone = body.zone.as_deref().or_else(|| mates().filter(|_| body.one_zone));
-            let room = match (body.one_zone, zone) {
+            let zone = body.zone.as_deref().or_else(|| zone_of_tasks().filter(|_| body.one_zone));
+            let max_tasks = match (body.one_zone, zone) {
                 (true, None) => ["north", "south", "west"]
-                    .map(|z| room(Some(z)))
+                    .map(|z| capacity(Some(z)))
                     .into_iter()
                     .fold(0.0, f64::max),
-                _ => room(zone),
+                _ => capacity(zone),
             };
-            let needs = if body.kind == JobKind::Gang { body.tasks as f64 } else { 1.0 };
-            let of = |(parcel, _): &&(String, f64)| {
-                self.jobs.get(parts(parcel).0).is_some_and(|b| b.team == body.team)
+            let min_tasks = if body.kind == JobKind::Gang { body.tasks as f64 } else { 1.0 };
+            let of_team = |(task_id, _): &&(String, f64)| {
+                self.jobs.get(parts(task_id).0).is_some_and(|b| b.team == body.team)
             };
-            let used: f64 = held.iter().filter(of).map(|(_, cpus)| cpus).sum();
-            let under = used + needs * body.cpus <= self.limit;
-            // A service that has to spread needs room in two zones.
+            let used: f64 = allocated.iter().filter(of_team).map(|(_, cpus)| cpus).sum();
+            let below_limit = used + min_tasks * body.cpus <= self.max_team_cpus;
+            // A service that has to spread needs free capacity in two zones.
             let spread = !body.spread || {
                 let zones = free.iter().filter(|(_, cpus, _)| *cpus >= body.cpus);
                 zones.map(|(z, ..)| *z).collect::<BTreeSet<_>>().len() >= 2
             };
-            if room >= needs && under && spread {
-                let since = self.idle.get(uid).copied().unwrap_or_else(Instant::now);
+            if max_tasks >= min_tasks && below_limit && spread {
+                let since = self.waiting_since.get(uid).copied().unwrap_or_else(Instant::now);
                 self.idle_longest = self.idle_longest.max(since.elapsed());
                 if since.elapsed() > Duration::from_secs(90) {
                     return Some(uid.clone());
                 }
-                idle.insert(uid.clone(), since);
+                waiting_since.insert(uid.clone(), since);
             }
         }
-        self.idle = idle;
+        self.waiting_since = waiting_since;
         None
     }
 }
--- a/crates/controller/tests/world/network.rs
+++ b/crates/controller/tests/world/network.rs
@@ -1,4 +1,4 @@
-//! A network between hosts in one process: each link, in each direction, can be cut in its own way.
+//! An emulated network between hosts in one process. Each link can be cut separately, in each direction and in each mode.
 
 use copperhaven::net::{Dial, DialFuture, Net};
 use std::collections::BTreeMap;
@@ -9,63 +9,75 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Where something runs. Workers of a zone share their links.
+/// An end of a link. The workers of a zone share their links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Host {
+    /// The controller with this index.
     Controller(usize),
+    /// The state service.
     State,
+    /// The cloud.
     Cloud,
+    /// All workers of the zone with this index.
     Workers(usize),
+    /// All users.
     Users,
 }
 
-/// What a link does in one direction.
+/// A fault of a link in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// What is sent arrives when the link is whole again.
+    /// Data arrives only when the link is intact again.
     Hold,
-    /// Connections are refused, open ones end.
+    /// Connections are refused, and open ones end.
     Refuse,
-    /// What is sent arrives so many milliseconds late.
+    /// Data arrives this many milliseconds late.
     Slow(u64),
 }
 
+/// Latency of an intact link in one direction.
 const LATENCY: Duration = Duration::from_millis(1);
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which data that is held back looks for the end of the cut.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The life of a process: over once it has ended. What it had sent by then still arrives.
-pub type Life = watch::Sender<bool>;
+/// Signals the end of a process: true once it has ended. Data that it had sent by then still arrives.
+pub type ProcessEnd = watch::Sender<bool>;
 
-/// Takes a connection from this host.
+/// Accepts a connection from a host.
 type Accept = Arc<dyn Fn(Host, DuplexStream) + Send + Sync>;
 
+/// The links between all hosts, and who listens at which address.
 #[derive(Default)]
 pub struct Network {
-    cuts: Mutex<BTreeMap<(Host, Host), Mode>>,
-    /// Who answers at an address.
-    doors: Mutex<BTreeMap<String, (Host, Accept)>>,
-    /// The process that runs at a host, where that may end.
-    lives: Mutex<BTreeMap<Host, Arc<Life>>>,
+    /// The faults that are active, by sender and receiver.
+    faults: Mutex<BTreeMap<(Host, Host), Mode>>,
+    /// Who listens at each address.
+    listeners: Mutex<BTreeMap<String, (Host, Accept)>>,
+    /// The end signal of the current process of each host whose process can end.
+    process_ends: Mutex<BTreeMap<Host, Arc<ProcessEnd>>>,
 }
 
 impl Network {
+    /// Sets the fault of a link in one direction, or lifts it.
     pub fn cut(&self, from: Host, to: Host, mode: Option<Mode>) {
-        let mut cuts = self.cuts.lock().expect("lock");
+        let mut faults = self.faults.lock().expect("lock");
         match mode {
-            Some(mode) => cuts.insert((from, to), mode),
-            None => cuts.remove(&(from, to)),
+            Some(mode) => faults.insert((from, to), mode),
+            None => faults.remove(&(from, to)),
         };
     }
 
+    /// Returns the fault of a link in one direction, if there is one.
     pub fn mode(&self, from: Host, to: Host) -> Option<Mode> {
-        self.cuts.lock().expect("lock").get(&(from, to)).copied()
+        self.faults.lock().expect("lock").get(&(from, to)).copied()
     }
 
+    /// Listens at an address; a later call for the same address replaces the listener.
     pub fn open(&self, addr: &str, host: Host, accept: Accept) {
-        self.doors.lock().expect("lock").insert(addr.into(), (host, accept));
+        self.listeners.lock().expect("lock").insert(addr.into(), (host, accept));
     }
 
-    /// Something is on its way: returns once it has arrived. False: refused.
+    /// Waits until something sent now has arrived. Returns false if it was refused.
     pub async fn pass(&self, from: Host, to: Host) -> bool {
         sleep(LATENCY).await;
         loop {
@@ -76,33 +88,34 @@
                     sleep(Duration::from_millis(ms)).await;
                     return true;
                 }
-                Some(Mode::Hold) => sleep(LOOK).await,
+                Some(Mode::Hold) => sleep(HOLD_POLL_INTERVAL).await,
             }
         }
     }
 
-    /// The network as a new process of this host sees it, in place of any that was there.
+    /// Returns the network for a new process of this host, which replaces any earlier one.
     pub fn at(self: &Arc<Self>, host: Host) -> Net {
-        let life = Arc::new(watch::Sender::new(false));
-        self.lives.lock().expect("lock").insert(host, life.clone());
-        Net::Custom(Arc::new(Seen { net: self.clone(), host, life }))
+        let end = Arc::new(watch::Sender::new(false));
+        self.process_ends.lock().expect("lock").insert(host, end.clone());
+        Net::Custom(Arc::new(HostDialer { net: self.clone(), host, end }))
     }
 
-    /// The process at this host ends: its connections do, and none is made any more.
+    /// Ends the process of this host: its connections end, and it makes and accepts no more.
     pub fn end(&self, host: Host) {
-        if let Some(life) = self.lives.lock().expect("lock").get(&host) {
-            life.send_replace(true);
+        if let Some(end) = self.process_ends.lock().expect("lock").get(&host) {
+            end.send_replace(true);
         }
     }
 
-    fn life(&self, host: Host) -> Option<Arc<Life>> {
-        self.lives.lock().expect("lock").get(&host).cloned()
+    fn process_end(&self, host: Host) -> Option<Arc<ProcessEnd>> {
+        self.process_ends.lock().expect("lock").get(&host).cloned()
     }
 
-    async fn pump(
+    /// Copies one direction of a connection, with the faults of the link, until either process or the connection ends.
+    async fn copy_direction(
         self: Arc<Self>,
         (from, to): (Host, Host),
-        lives: [Option<Arc<Life>>; 2],
+        ends: [Option<Arc<ProcessEnd>>; 2],
         mut read: ReadHalf<DuplexStream>,
         mut write: WriteHalf<DuplexStream>,
     ) {
@@ -111,10 +124,10 @@
             let n = tokio::select! {
                 n = read.read(&mut buffer) => n.unwrap_or(0),
                 () = self.refused(from, to) => 0,
-                () = over(&lives[0]) => 0,
-                () = over(&lives[1]) => 0,
+                () = wait_for_end(&ends[0]) => 0,
+                () = wait_for_end(&ends[1]) => 0,
             };
-            // The end of a connection is held like anything else.
+            // A cut in mode `Hold` also holds back the end of a connection.
             let arrived = self.pass(from, to).await;
             if n == 0 || !arrived || write.write_all(&buffer[..n]).await.is_err() {
                 let _ = write.shutdown().await;
@@ -123,6 +136,7 @@
         }
     }
 
+    /// Waits until the link refuses connections in this direction.
     async fn refused(&self, from: Host, to: Host) {
         while self.mode(from, to) != Some(Mode::Refuse) {
             sleep(Duration::from_millis(200)).await;
@@ -130,46 +144,54 @@
     }
 }
 
-/// Returns once the process has ended; never where none can.
-async fn over(life: &Option<Arc<Life>>) {
-    match life {
-        Some(life) => {
-            let _ = life.subscribe().wait_for(|over| *over).await;
+/// Waits until the process has ended; for ever for a host without a process that can end.
+async fn wait_for_end(end: &Option<Arc<ProcessEnd>>) {
+    match end {
+        Some(end) => {
+            let _ = end.subscribe().wait_for(|ended| *ended).await;
         }
         None => std::future::pending().await,
     }
 }
 
-struct Seen {
+/// Makes connections for one process of a host.
+struct HostDialer {
     net: Arc<Network>,
     host: Host,
-    life: Arc<Life>,
+    end: Arc<ProcessEnd>,
 }
 
-impl Dial for Seen {
+impl Dial for HostDialer {
     fn dial(&self, addr: &str) -> DialFuture {
         let (net, from, addr) = (self.net.clone(), self.host, addr.to_string());
-        let own = self.life.clone();
+        let local_end = self.end.clone();
         Box::pin(async move {
             let refused = || Error::from(ErrorKind::ConnectionRefused);
-            let door = net.doors.lock().expect("lock").get(&addr).cloned();
-            let (to, accept) = door.ok_or_else(refused)?;
-            // There and back, before anything can be sent.
+            let listener = net.listeners.lock().expect("lock").get(&addr).cloned();
+            let (to, accept) = listener.ok_or_else(refused)?;
+            // A connection takes one round trip before any data can be sent.
             if !net.pass(from, to).await || !net.pass(to, from).await {
                 return Err(refused());
             }
-            let other = net.life(to);
-            if *own.borrow() || other.as_ref().is_some_and(|life| *life.borrow()) {
+            let remote_end = net.process_end(to);
+            if *local_end.borrow() || remote_end.as_ref().is_some_and(|end| *end.borrow()) {
                 return Err(refused());
             }
-            let (here, there) = ([Some(own.clone()), other.clone()], [other, Some(own)]);
-            let (near, a) = duplex(64 << 10);
-            let (b, far) = duplex(64 << 10);
-            let ((ra, wa), (rb, wb)) = (tokio::io::split(a), tokio::io::split(b));
-            tokio::spawn(net.clone().pump((from, to), here, ra, wb));
-            tokio::spawn(net.pump((to, from), there, rb, wa));
-            accept(from, far);
-            Ok(near)
+            let (request_ends, reply_ends) =
+                ([Some(local_end.clone()), remote_end.clone()], [remote_end, Some(local_end)]);
+            let (local, local_wire) = duplex(64 << 10);
+            let (remote_wire, remote) = duplex(64 << 10);
+            let ((local_read, local_write), (remote_read, remote_write)) =
+                (tokio::io::split(local_wire), tokio::io::split(remote_wire));
+            tokio::spawn(net.clone().copy_direction(
+                (from, to),
+                request_ends,
+                local_read,
+                remote_write,
+            ));
+            tokio::spawn(net.copy_direction((to, from), reply_ends, remote_read, local_write));
+            accept(from, remote);
+            Ok(local)
         })
     }
 }
