--- a/crates/controller/tests/world/services.rs
+++ b/crates/controller/tests/world/services.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service, by its protocol.
+//! An emulated state service that speaks the state protocol, and the HTTP server that all emulated services use.
 
 use crate::World;
 use crate::network::{Host, Network};
@@ -19,12 +19,16 @@
 use tokio::io::DuplexStream;
 use tokio::time::{Instant, sleep};
 
+/// Address of the state service.
 pub const STATE: &str = "state:1";
+/// Address of the cloud.
 pub const CLOUD: &str = "cloud:1";
 
+/// HTTP status and body of an answer.
 type Answer = (u16, Value);
 
-/// Serves HTTP on a connection: method, path and body to status and value; none: no answer ever comes.
+/// Serves HTTP on a connection. `answer` turns method, path and body into status and value; with `None`, the request is
+/// never answered.
 pub fn serve(
     io: DuplexStream,
     answer: impl Fn(&str, &str, &[u8]) -> Option<Answer> + Send + Sync + 'static,
@@ -49,51 +53,64 @@
     });
 }
 
+/// Keys, leases and faults of the state service.
 #[derive(Default)]
 pub struct Store {
-    /// Value, version, and lease that it hangs on.
-    pairs: BTreeMap<String, (Value, u64, Option<u64>)>,
-    rev: u64,
+    /// Value, revision and lease id of each key.
+    entries: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// The store's current revision.
+    revision: u64,
+    /// End and duration of each lease, by id.
     leases: BTreeMap<u64, (Instant, Duration)>,
+    /// Whether there is an outage.
     down: bool,
-    /// These controllers alone get 503.
+    /// Controllers whose requests get 503.
     pub refuses: BTreeSet<usize>,
-    /// Of a hundred transactions so many get no answer and are carried out 2 to 12 s later, or at once.
+    /// Percentage of transactions that get no answer and are carried out 2 to 12 s later, or at once.
     pub late: u64,
+    /// Whether such transactions are carried out at once.
     pub at_once: bool,
-    /// Transactions so far, and those that were late.
+    /// Transactions so far.
     commits: u64,
+    /// Transactions that got no answer.
     pub were_late: u64,
 }
 
 #[derive(Deserialize)]
-struct Commit {
-    when: Vec<Cond>,
+struct Transaction {
+    #[serde(rename = "when")]
+    conditions: Vec<Condition>,
     #[serde(default)]
-    apply: Vec<Change>,
+    #[serde(rename = "apply")]
+    changes: Vec<Change>,
 }
 
+/// Holds if the key has this revision; 0 means that the key does not exist.
 #[derive(Deserialize)]
-struct Cond {
-    path: String,
-    stamp: u64,
+struct Condition {
+    #[serde(rename = "path")]
+    key: String,
+    #[serde(rename = "stamp")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
 struct Change {
     put: Option<String>,
-    v: Option<Value>,
-    charter: Option<u64>,
+    #[serde(rename = "v")]
+    value: Option<Value>,
+    #[serde(rename = "charter")]
+    lease: Option<u64>,
     delete: Option<String>,
 }
 
 impl Store {
-    /// How many keys with this prefix there are.
+    /// Returns the number of keys with this prefix.
     pub fn count(&self, prefix: &str) -> usize {
-        self.pairs.keys().filter(|key| key.starts_with(prefix)).count()
+        self.entries.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// An outage begins or ends. After it all leases have their full time again.
+    /// Begins or ends an outage. When it ends, all leases get their full duration again.
     pub fn set_down(&mut self, down: bool) {
         if self.down && !down {
             let now = Instant::now();
@@ -104,10 +121,10 @@
         self.down = down;
     }
 
-    /// After how long this transaction is carried out, without an answer. None: at once.
+    /// Returns after how long the next transaction is carried out without an answer, or `None` if it is answered normally.
     fn delay(&mut self) -> Option<Duration> {
         self.commits += 1;
-        // Spread evenly over any hundred in a row, the same in every play.
+        // Late transactions are spread evenly over any hundred in a row, in the same way in every run.
         if self.down || self.commits * 37 % 100 >= self.late {
             return None;
         }
@@ -118,53 +135,55 @@
         })
     }
 
+    /// Removes the leases that have ended and the keys that depend on them.
     fn expire(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, (end, _)| *end > now);
         let alive = &self.leases;
-        let before = self.pairs.len();
-        self.pairs.retain(|_, (.., lease)| lease.is_none_or(|l| alive.contains_key(&l)));
-        self.rev += u64::from(self.pairs.len() != before);
+        let before = self.entries.len();
+        self.entries.retain(|_, (.., lease)| lease.is_none_or(|l| alive.contains_key(&l)));
+        self.revision += u64::from(self.entries.len() != before);
     }
 
+    /// Carries out a request and returns its answer.
     fn answer(&mut self, method: &str, path: &str, body: &[u8]) -> Answer {
         if self.down {
             return (503, json!({}));
         }
         self.expire();
         if let Some(key) = path.strip_prefix("/store/") {
-            return match self.pairs.get(key) {
-                Some((v, stamp, lease)) => {
-                    (200, json!({"path": key, "v": v, "stamp": stamp, "charter": lease}))
+            return match self.entries.get(key) {
+                Some((value, revision, lease)) => {
+                    (200, json!({"path": key, "v": value, "stamp": revision, "charter": lease}))
                 }
-                None => (404, json!({"ledgerRev": self.rev})),
+                None => (404, json!({"ledgerRev": self.revision})),
             };
         }
         if let Some(query) = path.strip_prefix("/store?") {
-            let of = |name: &str| {
-                let part = query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
-                part.unwrap_or_default().to_string()
+            let param = |name: &str| {
+                let value = query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
+                value.unwrap_or_default().to_string()
             };
-            let (prefix, since) = (of("prefix"), of("since"));
-            let limit = of("limit").parse().unwrap_or(1000);
+            let (prefix, since) = (param("prefix"), param("since"));
+            let limit = param("limit").parse().unwrap_or(1000);
             let mut found = self
-                .pairs
+                .entries
                 .iter()
                 .filter(|(key, _)| key.starts_with(&prefix) && (since.is_empty() || **key > since));
             let pairs: Vec<Value> = (found.by_ref().take(limit))
-                .map(|(key, (v, stamp, _))| json!({"path": key, "v": v, "stamp": stamp}))
+                .map(|(key, (value, revision, _))| json!({"path": key, "v": value, "stamp": revision}))
                 .collect();
             let more = found.next().is_some();
-            return (200, json!({"pairs": pairs, "more": more, "ledgerRev": self.rev}));
+            return (200, json!({"pairs": pairs, "more": more, "ledgerRev": self.revision}));
         }
         match (method, path) {
             ("POST", "/commit") => self.commit(body),
             ("POST", "/leases") => {
-                let ask: Value = rmp_serde::from_slice(body).unwrap_or_default();
-                let ttl = Duration::from_millis(ask["ttlMs"].as_u64().unwrap_or(100));
-                self.rev += 1;
-                self.leases.insert(self.rev, (Instant::now() + ttl, ttl));
-                (200, json!({"charter": self.rev}))
+                let request: Value = rmp_serde::from_slice(body).unwrap_or_default();
+                let ttl = Duration::from_millis(request["ttlMs"].as_u64().unwrap_or(100));
+                self.revision += 1;
+                self.leases.insert(self.revision, (Instant::now() + ttl, ttl));
+                (200, json!({"charter": self.revision}))
             }
             _ => {
                 let id = path.split('/').nth(2).and_then(|id| id.parse::<u64>().ok());
@@ -184,34 +203,41 @@
         }
     }
 
+    /// Carries out a transaction if all its conditions hold and its leases exist.
     fn commit(&mut self, body: &[u8]) -> Answer {
-        let Ok(commit) = rmp_serde::from_slice::<Commit>(body) else { return (400, json!({})) };
-        let stamp = |key: &str| self.pairs.get(key).map_or(0, |(_, stamp, _)| *stamp);
-        let failed: Vec<&str> = commit
-            .when
+        let Ok(transaction) = rmp_serde::from_slice::<Transaction>(body) else {
+            return (400, json!({}));
+        };
+        let current = |key: &str| self.entries.get(key).map_or(0, |(_, revision, _)| *revision);
+        let failed: Vec<&str> = transaction
+            .conditions
             .iter()
-            .filter(|c| stamp(&c.path) != c.stamp)
-            .map(|c| c.path.as_str())
+            .filter(|c| current(&c.key) != c.revision)
+            .map(|c| c.key.as_str())
             .collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "ledgerRev": self.rev}));
+            return (409, json!({"failed": failed, "ledgerRev": self.revision}));
         }
-        if commit.apply.iter().any(|c| c.charter.is_some_and(|l| !self.leases.contains_key(&l))) {
+        if transaction
+            .changes
+            .iter()
+            .any(|c| c.lease.is_some_and(|l| !self.leases.contains_key(&l)))
+        {
             return (400, json!({"error": "no such lease"}));
         }
-        self.rev += 1;
-        for c in commit.apply {
+        self.revision += 1;
+        for c in transaction.changes {
             if let Some(key) = c.put {
-                self.pairs.insert(key, (c.v.unwrap_or_default(), self.rev, c.charter));
+                self.entries.insert(key, (c.value.unwrap_or_default(), self.revision, c.lease));
             } else if let Some(key) = c.delete {
-                self.pairs.remove(&key);
+                self.entries.remove(&key);
             }
         }
-        (200, json!({"ledgerRev": self.rev}))
+        (200, json!({"ledgerRev": self.revision}))
     }
 }
 
-/// Opens the state service; `world` is there once anybody asks.
+/// Makes the state service listen at its address. `world` must exist by the time of the first request.
 pub fn open(net: &Arc<Network>, store: &Arc<Mutex<Store>>, world: Weak<World>) {
     let shared = store.clone();
     let accept = move |from, io| {
@@ -227,24 +253,24 @@
                 _ => Fate::Answer,
             };
             let mut s = store.lock().expect("lock");
-            let silent = match fate {
+            let delay = match fate {
                 Fate::Answer if path == "/commit" => s.delay(),
                 Fate::Answer => None,
                 Fate::Refuse => return Some((503, json!({}))),
                 Fate::Gone => return None,
-                Fate::Silent(late) => {
+                Fate::Silent(delay) => {
                     s.were_late += 1;
-                    Some(late)
+                    Some(delay)
                 }
             };
-            let Some(late) = silent else { return Some(s.answer(method, path, body)) };
-            if late.is_zero() {
+            let Some(delay) = delay else { return Some(s.answer(method, path, body)) };
+            if delay.is_zero() {
                 s.answer(method, path, body);
                 return None;
             }
             let (store, body) = (store.clone(), body.to_vec());
             tokio::spawn(async move {
-                sleep(late).await;
+                sleep(delay).await;
                 store.lock().expect("lock").answer("POST", "/commit", &body);
             });
             None
