--- a/crates/controller/tests/world/troubles.rs
+++ b/crates/controller/tests/world/troubles.rs
@@ -1,4 +1,4 @@
-//! What goes wrong between controllers, state service and workers, for schedules.
+//! Faults of controllers, the state service, the cloud, workers and links that schedules can inject.
 
 use crate::network::{Host, Mode};
 use crate::schedules::{Side, set};
@@ -9,79 +9,84 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// Whom a trouble hits is counted from who leads when the schedule begins: 0 is that controller.
+/// A fault. Its controllers are counted from the one that leads when the schedule begins: 0 is that controller, 1 the next
+/// by index.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Trouble {
     /// The state service answers 503 to this controller alone.
     Refused(usize),
-    /// The controller loses the state service, the other controllers, or its workers.
+    /// The links of this controller on one side are cut, for instance those to the state service, to the other controllers
+    /// or to workers.
     Cut(usize, Side, Mode),
-    /// It has neither state service nor peers, but its workers and users.
+    /// This controller has neither the state service nor its peers, but still its workers and users.
     Alone(usize, Mode),
-    /// What is between this controller and the others is held in one direction only: what it hears.
+    /// Data from the other controllers to this one is held back; the opposite direction works.
     HearsNoPeer(usize),
-    /// What the other controllers send to workers is held.
+    /// Data from all other controllers to workers is held back.
     OnlyHeard(usize),
-    /// The state service is down for all.
+    /// The state service is down for all controllers.
     Down,
-    /// A third of the transactions gets no answer and is carried out 2 to 12 s later.
+    /// 33 % of the transactions get no answer and are carried out 2 to 12 s later.
     Late,
-    /// A third of the transactions is carried out at once, and its answer is lost.
+    /// 33 % of the transactions are carried out at once, but their answers are lost.
     LostAnswers,
-    /// The state service answers so many milliseconds late, to all.
+    /// The links between the state service and all controllers are this many milliseconds slower, in each direction.
     Slow(u64),
-    /// What controllers send to the machines of a zone doesn't arrive; their reports do.
+    /// Data from controllers to the machines of a zone is held back; the reports of these machines arrive.
     Deaf(usize),
-    /// The machines of a zone are cut from all.
+    /// The machines of a zone are cut off from all controllers.
     CutOff(usize),
-    /// The machines of a zone reach no controller, while direct commands reach them.
+    /// The reports of the machines of a zone reach no controller, while direct commands still reach these machines.
     Mute(usize),
-    /// Users call off so many jobs that run, within a fifth of a second; up to eight of their machines hang for so long.
+    /// Users cancel this many running jobs within a fifth of a second; up to eight of their machines hang for this many
+    /// milliseconds.
     CancelNow(usize, u64),
-    /// Machines hang for so long, every third of them, and go on.
+    /// Every third machine hangs for this many milliseconds and then continues.
     Hang(u64),
-    /// Copies of reports are kept, and reach every controller as a new leader begins.
+    /// Copies of reports are kept, and reach every controller when a new leader is elected.
     KeptForNext,
-    /// This controller and the machines of a zone are cut from everything but each other.
+    /// This controller and the machines of a zone are cut off from everything but each other.
     Island(usize, usize),
-    /// The machines of a zone stop with all that is on them; as many new ones are there at the end of it.
+    /// The machines of a zone stop with all tasks on them. At the end of the fault, six new machines are provided there.
     Stop(usize),
-    /// Answers of the cloud are lost.
+    /// Answers of the cloud to rentals are lost; the rentals are carried out.
     CloudMum,
-    /// For schedules that want time alone.
+    /// No fault, for schedules in which only time passes.
     Nothing,
     /// Copies of reports arrive again, up to three leases later.
     Copies,
-    /// Who leads by then ends, or this one, or all; back after so many milliseconds.
+    /// The process of the controller that leads at that time ends, and restarts after this many milliseconds.
     End(u64),
+    /// The process of this controller ends, and restarts after this many milliseconds.
     EndOf(usize, u64),
+    /// The processes of all controllers end, and restart after this many milliseconds.
     AllEnd(u64),
 }
 
 use Trouble::*;
 
-/// A trouble begins, or ends.
+/// Begins a fault, or ends it if `on` is false. `first` is the controller that led when the schedule began.
 pub(super) fn begin(world: &Arc<World>, first: usize, trouble: Trouble, on: bool) {
     let count = world.count();
-    let who = |n: usize| (first + n) % count;
+    let controller = |n: usize| (first + n) % count;
     let mode = |mode: Mode| on.then_some(mode);
-    let zone = |zone: usize, back: bool| {
+    let cut_zone = |zone: usize, both_directions: bool| {
         for c in (0..count).map(Host::Controller) {
             world.net.cut(c, Host::Workers(zone), mode(Mode::Hold));
-            if back {
+            if both_directions {
                 world.net.cut(Host::Workers(zone), c, mode(Mode::Hold));
             }
         }
     };
-    let end = |all: Vec<usize>, back: u64| {
-        for ix in all.into_iter().filter(|ix| on && !world.is_down(*ix)) {
-            world.end_for(ix, back);
+    let end = |controllers: Vec<usize>, restart_after_ms: u64| {
+        for ix in controllers.into_iter().filter(|ix| on && !world.is_down(*ix)) {
+            world.end_for(ix, restart_after_ms);
         }
     };
     let mut store = world.store.lock().expect("lock");
     match trouble {
-        Refused(n) if on => drop(store.refuses.insert(who(n))),
-        Refused(n) => drop(store.refuses.remove(&who(n))),
+        Refused(n) if on => drop(store.refuses.insert(controller(n))),
+        Refused(n) => drop(store.refuses.remove(&controller(n))),
         Down => store.set_down(on),
         Late | LostAnswers => {
             (store.late, store.at_once) = (if on { 33 } else { 0 }, trouble == LostAnswers)
@@ -91,34 +96,34 @@
     drop(store);
     match trouble {
         Refused(_) | Down | Late | LostAnswers | Nothing => {}
-        Cut(n, side, m) => set(world, who(n), side, mode(m)),
+        Cut(n, side, m) => set(world, controller(n), side, mode(m)),
         Alone(n, m) => {
             for side in [Side::State, Side::Peers] {
-                set(world, who(n), side, mode(m));
+                set(world, controller(n), side, mode(m));
             }
         }
-        HearsNoPeer(n) => (0..count).filter(|o| *o != who(n)).for_each(|o| {
-            world.net.cut(Host::Controller(o), Host::Controller(who(n)), mode(Mode::Hold));
+        HearsNoPeer(n) => (0..count).filter(|o| *o != controller(n)).for_each(|o| {
+            world.net.cut(Host::Controller(o), Host::Controller(controller(n)), mode(Mode::Hold));
         }),
         OnlyHeard(n) => (0..count)
-            .filter(|o| *o != who(n))
+            .filter(|o| *o != controller(n))
             .for_each(|o| set(world, o, Side::ToWorkers, mode(Mode::Hold))),
         Slow(ms) => {
             (0..count).for_each(|c| set(world, c, Side::State, mode(Mode::Slow(ms))));
         }
-        Deaf(z) => zone(z, false),
-        CutOff(z) => zone(z, true),
+        Deaf(z) => cut_zone(z, false),
+        CutOff(z) => cut_zone(z, true),
         Mute(z) => world.workers.lock().expect("lock").iter().for_each(|w| {
             let mut w = w.lock().expect("lock");
             if w.zone == z {
                 w.mute = on;
             }
         }),
-        CancelNow(n, hang) if on => world.cancel_now(n, Duration::from_millis(hang)),
-        Hang(time) if on => {
+        CancelNow(n, hang_ms) if on => world.cancel_now(n, Duration::from_millis(hang_ms)),
+        Hang(hang_ms) if on => {
             for w in world.workers.lock().expect("lock").iter().step_by(3) {
                 let mut w = w.lock().expect("lock");
-                w.hang(Duration::from_millis(time));
+                w.hang(Duration::from_millis(hang_ms));
                 tear(world, &w);
             }
         }
@@ -134,10 +139,10 @@
         }
         Island(n, z) => {
             for side in [Side::State, Side::Peers, Side::Cloud, Side::Users] {
-                set(world, who(n), side, mode(Mode::Hold));
+                set(world, controller(n), side, mode(Mode::Hold));
             }
             for (c, zone) in (0..count).flat_map(|c| (0..3).map(move |zone| (c, zone))) {
-                if (c == who(n)) != (zone == z) {
+                if (c == controller(n)) != (zone == z) {
                     both(&world.net, Host::Controller(c), Host::Workers(zone), mode(Mode::Hold));
                 }
             }
@@ -146,8 +151,8 @@
         Stop(z) => world.add_machines(z),
         CloudMum => world.cloud.lock().expect("lock").mum = on,
         Copies => world.copies.store(on, Relaxed),
-        End(back) => end(vec![world.leader().unwrap_or(first)], back),
-        EndOf(n, back) => end(vec![who(n)], back),
-        AllEnd(back) => end((0..count).collect(), back),
+        End(restart_ms) => end(vec![world.leader().unwrap_or(first)], restart_ms),
+        EndOf(n, restart_ms) => end(vec![controller(n)], restart_ms),
+        AllEnd(restart_ms) => end((0..count).collect(), restart_ms),
     }
 }
