--- a/crates/controller/tests/world/checker.rs
+++ b/crates/controller/tests/world/checker.rs
@@ -37,7 +37,7 @@
     placements: BTreeMap<String, Place>,
     /// Tasks killed because the lease of their worker ended.
     pub killed: usize,
-    /// Tasks started.
+    /// Task starts; a task that is started again counts again.
     pub started: usize,
     /// Number of tasks that are done, by job.
     pub done: BTreeMap<String, u32>,
@@ -116,8 +116,8 @@
         self.placements.keys().map(cpus).sum()
     }
 
-    /// Checks that no task is present longer than `max_linger` after its job's cancellation was reported to a user, and that
-    /// each team keeps its limit.
+    /// Checks that no task is present longer than `max_linger` after its job's cancellation was reported to a user, and
+    /// that each team keeps its limit.
     pub fn check(&mut self, max_linger: Duration) {
         for team in ["red", "blue"] {
             let used = self.used_cpus(team);
@@ -158,11 +158,11 @@
         (self.done.get(uid).copied().unwrap_or(0), all)
     }
 
-    /// Measures, once all faults are over, how long each job of `open` has waited while suitable machines have free capacity
-    /// and its team is below its limit. `open` holds the accepted jobs whose cancellation was not requested. `free` holds
-    /// zone, free CPUs and free memory in GB of each machine that is up. `allocated` holds the tasks on these machines with
-    /// their CPUs; tasks whose image is still being pulled count against the limit as well. Returns a job that has waited
-    /// for more than 90 s, if there is one.
+    /// Measures, once all faults are over, how long each job of `open` has waited while suitable machines have free
+    /// capacity and its team is below its limit. `open` holds the accepted jobs whose cancellation was not requested.
+    /// `free` holds zone, free CPUs and free memory in GB of each machine that is up. `allocated` holds the tasks on
+    /// these machines with their CPUs; tasks whose image is still being pulled count against the limit as well. Returns
+    /// a job that has waited for more than 90 s, if there is one.
     pub fn look_for_idle<'a>(
         &mut self,
         open: impl Iterator<Item = &'a String>,
--- a/crates/controller/tests/world/cloud.rs
+++ b/crates/controller/tests/world/cloud.rs
@@ -1,5 +1,5 @@
-//! An emulated cloud that speaks the cloud protocol: rented machines boot within seconds, late or never, and the machine
-//! list lags behind.
+//! An emulated cloud that speaks the cloud protocol: rented machines boot within seconds, late or never, and the
+//! machine list lags behind.
 
 use crate::World;
 use crate::network::{Host, Network};
--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -1,11 +1,12 @@
 //! Tests of several real controllers in one process, on a paused clock.
 //!
-//! The controllers run their own code from the API routes and `leadership` to the links between peers. The state service,
-//! the cloud, workers and users are emulated at the protocol level. The emulated network can cut each link separately, in
-//! each direction and in each mode. The rules are checked by what workers and users observe.
+//! The controllers run their own code from the API routes and `leadership` to the links between peers. The state
+//! service, the cloud, workers and users are emulated at the protocol level. The emulated network can cut each link
+//! separately, in each direction and in each mode. The rules are checked by what workers and users observe.
 //!
 //! Not covered: the sockets of the API endpoints (a request is handed to the routes), checkpoints, spot notices, and
-//! processes that stand still, which the random schedules of the core crate cover. `--nocapture` prints the measurements.
+//! processes that stand still, which the random schedules of the core crate cover. `--nocapture` prints the
+//! measurements.
 
 mod answers;
 mod checker;
@@ -93,7 +94,7 @@
 pub struct Outcome {
     /// Tasks killed because the lease of their worker ended.
     pub killed: usize,
-    /// Tasks started.
+    /// Task starts; a task that is started again counts again.
     pub started: usize,
     /// The longest time until a submission was accepted.
     pub worst: Duration,
@@ -255,7 +256,8 @@
         self.down.lock().expect("lock").contains(&ix)
     }
 
-    /// Sends a request from outside to a controller. Returns the answer if it arrives and the same process still runs then.
+    /// Sends a request from outside to a controller. Returns the answer if it arrives and the same process still runs
+    /// then.
     pub async fn ask(&self, from: Host, to: usize, op: Op, body: &[u8]) -> Option<Reply> {
         if !self.net.pass(from, Host::Controller(to)).await || self.is_down(to) {
             return None;
@@ -295,7 +297,8 @@
         self.net.open(&format!("peer:{ix}"), Host::Controller(ix), Arc::new(accept));
     }
 
-    /// Returns the controller to which the load balancer sends the `n`th connection: one that is ready, if there is any.
+    /// Returns the controller to which the load balancer sends the `n`th connection: one that is ready, if there is
+    /// any.
     pub fn balanced(&self, n: usize) -> usize {
         let all = 0..self.count();
         let ready: Vec<usize> =
@@ -313,7 +316,8 @@
         (0..self.count()).filter(|ix| !self.is_down(*ix) && self.node(*ix).is_leader()).collect()
     }
 
-    /// Runs for `time` and checks the rules every 50 ms. Adds the time without a leader and the changes of leader to `out`.
+    /// Runs for `time` and checks the rules every 50 ms. Adds the time without a leader and the changes of leader to
+    /// `out`.
     pub async fn watch(&self, time: Duration, out: &mut Outcome) {
         let end = Instant::now() + time;
         let mut last = self.leader();
@@ -333,8 +337,8 @@
         }
     }
 
-    /// Once all faults are over, checks that no job waits for 90 s while a suitable machine has free capacity and its team
-    /// is below its limit.
+    /// Once all faults are over, checks that no job waits for 90 s while a suitable machine has free capacity and its
+    /// team is below its limit.
     fn check_idle_capacity(&self) {
         let users = self.users.lock().expect("lock");
         assert!(users.wrong.is_empty(), "{:?}", users.wrong);
@@ -361,8 +365,8 @@
         panic!("waits although it would fit: {uid}, {job:?}");
     }
 
-    /// Runs while faults begin and end; each is given with its begin and its end in milliseconds. Of several events at one
-    /// time, the ends come before the begins.
+    /// Runs while faults begin and end; each is given with its begin and its end in milliseconds. Of several events at
+    /// one time, the ends come before the begins.
     pub async fn play<T: Copy>(
         &self,
         troubles: &[(u64, u64, T)],
@@ -414,8 +418,8 @@
         self.checker.lock().expect("lock").killed = 0;
     }
 
-    /// Runs on with all links intact, then checks that every accepted job is still known, that a job reported as done has
-    /// all its tasks done by the workers' own count, and that only jobs cancelled by their users are aborted.
+    /// Runs on with all links intact, then checks that every accepted job is still known, that a job reported as done
+    /// has all its tasks done by the workers' own count, and that only jobs cancelled by their users are aborted.
     pub async fn settle(&self) {
         let settle_time = Duration::from_secs(35) + self.habits.run;
         self.watch(settle_time, &mut Outcome::default()).await;
--- a/crates/controller/tests/world/network.rs
+++ b/crates/controller/tests/world/network.rs
@@ -1,4 +1,5 @@
-//! An emulated network between hosts in one process. Each link can be cut separately, in each direction and in each mode.
+//! An emulated network between hosts in one process. Each link can be cut separately, in each direction and in each
+//! mode.
 
 use copperhaven::net::{Dial, DialFuture, Net};
 use std::collections::BTreeMap;
--- a/crates/controller/tests/world/services.rs
+++ b/crates/controller/tests/world/services.rs
@@ -121,7 +121,8 @@
         self.down = down;
     }
 
-    /// Returns after how long the next transaction is carried out without an answer, or `None` if it is answered normally.
+    /// Returns after how long the next transaction is carried out without an answer, or `None` if it is answered
+    /// normally.
     fn delay(&mut self) -> Option<Duration> {
         self.commits += 1;
         // Late transactions are spread evenly over any hundred in a row, in the same way in every run.
--- a/crates/controller/tests/world/troubles.rs
+++ b/crates/controller/tests/world/troubles.rs
@@ -9,14 +9,14 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// A fault. Its controllers are counted from the one that leads when the schedule begins: 0 is that controller, 1 the next
-/// by index.
+/// A fault. Its controllers are counted from the one that leads when the schedule begins: 0 is that controller, 1 the
+/// next by index.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Trouble {
     /// The state service answers 503 to this controller alone.
     Refused(usize),
-    /// The links of this controller on one side are cut, for instance those to the state service, to the other controllers
-    /// or to workers.
+    /// The links of this controller on one side are cut, for instance those to the state service, to the other
+    /// controllers or to workers.
     Cut(usize, Side, Mode),
     /// This controller has neither the state service nor its peers, but still its workers and users.
     Alone(usize, Mode),
@@ -47,7 +47,8 @@
     KeptForNext,
     /// This controller and the machines of a zone are cut off from everything but each other.
     Island(usize, usize),
-    /// The machines of a zone stop with all tasks on them. At the end of the fault, six new machines are provided there.
+    /// The machines of a zone stop with all tasks on them. At the end of the fault, six new machines are provided
+    /// there.
     Stop(usize),
     /// Answers of the cloud to rentals are lost; the rentals are carried out.
     CloudMum,
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -1,8 +1,8 @@
 //! Emulated users that speak the API.
 //!
-//! They submit jobs through a load balancer, repeat submissions that are not accepted, poll and cancel, and send bursts of
-//! queries to all controllers within milliseconds. Each answer is checked against all answers that had arrived before its
-//! request was sent.
+//! They submit jobs through a load balancer, repeat submissions that are not accepted, poll and cancel, and send bursts
+//! of queries to all controllers within milliseconds. Each answer is checked against all answers that had arrived
+//! before its request was sent.
 
 use crate::World;
 use crate::network::Host;
@@ -21,8 +21,8 @@
 pub enum Mix {
     /// Arrays of six tasks.
     Plain,
-    /// Arrays, gangs and services of two teams: some bound to a zone, some spread over zones, some in one zone, some with a
-    /// higher priority.
+    /// Arrays, gangs and services of two teams: some bound to a zone, some spread over zones, some in one zone, some
+    /// with a higher priority.
     All,
     /// Arrays of one task.
     Single,
@@ -41,8 +41,8 @@
     pub limit: usize,
     /// The kinds of jobs.
     pub mix: Mix,
-    /// Whether they query all controllers within milliseconds after each job was accepted, ended or cancelled, repeat the
-    /// submission then, and cancel some jobs at once.
+    /// Whether they query all controllers within milliseconds after each job was accepted, ended or cancelled, repeat
+    /// the submission then, and cancel some jobs at once.
     pub looks: bool,
     /// Whether they also send jobs that lack a field or fit no machine, and cancel jobs that are done.
     pub odd: bool,
@@ -176,8 +176,8 @@
         self.calm.and(since).map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// Records an answer with a job's status and checks it: a request that was sent after another answer had arrived must
-    /// not be answered with an older status, and a job has only one final status.
+    /// Records an answer with a job's status and checks it: a request that was sent after another answer had arrived
+    /// must not be answered with an older status, and a job has only one final status.
     pub fn record_status_answer(&mut self, uid: &str, status: &str, sent: Instant) {
         self.unanswered = self.unanswered.max(self.silence(uid));
         self.last_answered.insert(uid.into(), Instant::now());
@@ -196,8 +196,8 @@
         assert!(requested, "went_back: {uid}, which nobody cancelled");
     }
 
-    /// Checks a 404, 400 or 422 answer about a submitted job: it must not come to a request that was sent after the job was
-    /// known to be accepted.
+    /// Checks a 404, 400 or 422 answer about a submitted job: it must not come to a request that was sent after the job
+    /// was known to be accepted.
     fn check_denied(&self, uid: &str, status: u16, sent: Instant) {
         let known = self.known_since.get(uid).is_some_and(|at| sent > *at);
         assert!(!known, "forgotten: {uid} gets {status}");
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Records and checks the answer to a query, a cancellation or a submission. Returns the job's status, or `None` if there
-    /// is no answer or it holds no status.
+    /// Records and checks the answer to a query, a cancellation or a submission. Returns the job's status, or `None` if
+    /// there is no answer or it holds no status.
     pub fn heard(
         self: &Arc<Self>,
         uid: &str,
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Queries all controllers several times within milliseconds, and repeats the submission at each. With `cancels`, also
-    /// cancels the job.
+    /// Queries all controllers several times within milliseconds, and repeats the submission at each. With `cancels`,
+    /// also cancels the job.
     pub fn look(self: &Arc<Self>, uid: &str, cancels: bool) {
         for to in 0..self.count() {
             for (delay_ms, op) in [
@@ -313,7 +313,8 @@
         self.heard(uid, reply, sent)
     }
 
-    /// Cancels `n` running jobs within a fifth of a second. With `hang`, up to eight of their machines hang for so long.
+    /// Cancels `n` running jobs within a fifth of a second. With `hang`, up to eight of their machines hang for so
+    /// long.
     pub fn cancel_now(self: &Arc<Self>, n: usize, hang: Duration) {
         let open: Vec<String> = self.users.lock().expect("lock").open().cloned().collect();
         let workers = self.workers.lock().expect("lock").clone();
--- a/crates/controller/tests/world/workers.rs
+++ b/crates/controller/tests/world/workers.rs
@@ -1,7 +1,7 @@
 //! Emulated workers that speak the worker protocol.
 //!
-//! Covers sessions, terms, leases, one report in flight at a time, image pulls, gangs, and machines that hang for a while
-//! and then continue.
+//! Covers sessions, terms, leases, one report in flight at a time, image pulls, gangs, and machines that hang for a
+//! while and then continue.
 
 use crate::World;
 use crate::checker::{Place, parts};
@@ -310,8 +310,8 @@
             cpus: 0.0,
             mem_gb: 0.0,
         };
-        // An order to run the same attempt has no effect. Another attempt would be reported as `busy`, but this map holds
-        // only one attempt of a task.
+        // An order to run the same attempt has no effect. Another attempt would be reported as `busy`, but this map
+        // holds only one attempt of a task.
         if self.tasks.contains_key(&order.task_id) {
             return;
         }
