--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -1,6 +1,6 @@
-//! What real machines showed: machines that hang and go on, reach nobody, come up at once, are lost; reports that arrive
-//! as a new leader begins; teams at their limit; cancellations in the seconds in which work changes hands. Each row with
-//! three and five controllers, in the other order, and with the end of whoever leads in its middle.
+//! Failures seen on real machines: machines that hang and resume, can't reach any controller, boot at once or are lost;
+//! old reports that arrive as a new leader takes over; teams at their limit; cancellations during a takeover. Each row
+//! runs with three and five controllers, with its schedule reversed, and with an end of the leader halfway through.
 
 use crate::network::Mode;
 use crate::scenes::{HABITS, Scene, Schedule, reversed, with_an_end};
@@ -13,20 +13,20 @@
 use std::time::Duration;
 
 struct Row {
-    what: &'static str,
+    name: &'static str,
     machines: usize,
     habits: Habits,
     schedule: Schedule,
     traps: Vec<Trap>,
 }
 
-fn row(what: &'static str, schedule: Schedule) -> Row {
-    // Tasks that outlast leases and a cancellation's time.
+fn row(name: &'static str, schedule: Schedule) -> Row {
+    // Tasks run longer than a lease (16 s) and than `cancel_s` (35 s).
     let habits = Habits { run: Duration::from_secs(40), looks: false, odd: false, ..HABITS };
-    Row { what, machines: 18, habits, schedule, traps: vec![] }
+    Row { name, machines: 18, habits, schedule, traps: vec![] }
 }
 
-/// Both teams want several times their limit.
+/// Both teams submit several times as much work as their limit allows.
 fn at_limit(row: Row) -> Row {
     let every = Duration::from_millis(600);
     Row { habits: Habits { limit: 24, every, ..row.habits }, ..row }
@@ -37,10 +37,10 @@
     Row { traps: traps.collect(), ..row }
 }
 
-fn limits() -> Vec<Row> {
+fn team_limit_rows() -> Vec<Row> {
     vec![
         at_limit(row(
-            "teams at their limit, cancelled on machines that hang, a leader ends",
+            "teams at their limit, cancellations on hanging machines, a leader ends",
             vec![
                 (0, 1, CancelNow(12, 12_000)),
                 (800, 801, End(300)),
@@ -49,7 +49,7 @@
             ],
         )),
         at_limit(row(
-            "teams at their limit, cancelled on machines that are cut off, a leader ends",
+            "teams at their limit, cancellations on machines that are cut off, a leader ends",
             vec![
                 (0, 30_000, CutOff(0)),
                 (1_000, 1_001, CancelNow(12, 0)),
@@ -58,7 +58,7 @@
             ],
         )),
         at_limit(row(
-            "teams at their limit, some machines can't be asked, a cancellation",
+            "teams at their limit, one zone unreachable, cancellations",
             vec![
                 (0, 1, End(300)),
                 (100, 20_000, CutOff(1)),
@@ -67,7 +67,7 @@
             ],
         )),
         at_limit(row(
-            "teams at their limit, machines hang past their lease and go on",
+            "teams at their limit, machines hang past their lease and resume",
             vec![
                 (0, 1, Hang(22_000)),
                 (3_000, 3_001, End(300)),
@@ -78,10 +78,10 @@
     ]
 }
 
-fn machines() -> Vec<Row> {
+fn machine_failure_rows() -> Vec<Row> {
     vec![
         row(
-            "machines that reach nobody take commands",
+            "machines that reach no controller still receive direct orders",
             vec![
                 (0, 40_000, Mute(0)),
                 (3_000, 3_001, CancelNow(10, 0)),
@@ -89,7 +89,7 @@
             ],
         ),
         row(
-            "all machines reach nobody, one zone after the other",
+            "machines reach no controller, one zone after the other",
             vec![
                 (0, 14_000, Mute(0)),
                 (4_000, 18_000, Mute(1)),
@@ -98,11 +98,11 @@
             ],
         ),
         row(
-            "jobs lose the machines of their zone",
+            "jobs lose the machines of their zone, a leader ends",
             vec![(0, 9_000, Stop(0)), (6_000, 20_000, Stop(1)), (3_000, 3_001, End(300))],
         ),
         row(
-            "a zone with a controller is an island for longer than a lease",
+            "a zone and one controller are isolated for longer than a lease",
             vec![
                 (0, 40_000, Island(0, 0)),
                 (5_000, 5_001, CancelNow(12, 0)),
@@ -111,7 +111,7 @@
             ],
         ),
         row(
-            "commands and answers are held while machines hang and go on",
+            "orders and responses are delayed while machines hang and resume",
             vec![
                 (0, 9_000, Cut(0, Side::ToWorkers, Mode::Slow(3_000))),
                 (2_000, 2_001, CancelNow(10, 6_000)),
@@ -122,10 +122,10 @@
     ]
 }
 
-fn reports() -> Vec<Row> {
+fn old_report_rows() -> Vec<Row> {
     vec![
         row(
-            "old reports reach everybody as a new leader begins",
+            "old reports reach all controllers as a new leader takes over",
             vec![
                 (0, 70_000, KeptForNext),
                 (8_000, 8_001, End(300)),
@@ -135,7 +135,7 @@
             ],
         ),
         row(
-            "the same, machines hang meanwhile",
+            "old reports at a takeover, machines hang meanwhile",
             vec![
                 (0, 60_000, KeptForNext),
                 (6_000, 6_001, Hang(14_000)),
@@ -145,7 +145,7 @@
             ],
         ),
         at_limit(row(
-            "the same, teams at their limit, a zone is cut off",
+            "old reports at a takeover, teams at their limit, a zone is cut off",
             vec![
                 (0, 60_000, KeptForNext),
                 (5_000, 28_000, CutOff(2)),
@@ -155,7 +155,7 @@
             ],
         )),
         row(
-            "all controllers are away for longer than a lease",
+            "all controllers are down for longer than a lease",
             vec![
                 (0, 1, AllEnd(19_000)),
                 (40_000, 40_001, AllEnd(26_000)),
@@ -165,63 +165,72 @@
     ]
 }
 
-fn hands() -> Vec<Row> {
+fn takeover_rows() -> Vec<Row> {
     let ends =
         vec![(1_000, 1_001, End(300)), (16_000, 16_001, End(8_000)), (34_000, 34_001, AllEnd(300))];
-    let lose_workers = vec![
+    let worker_cuts = vec![
         (0, 8_000, Cut(0, Side::Workers, Mode::Hold)),
         (14_000, 22_000, Cut(1, Side::Workers, Mode::Hold)),
     ];
     vec![
-        trapped(row("cancelled as a leader is elected", ends.clone()), &[(Election, 9, Cancel(6))]),
-        trapped(row("cancelled as a new leader reads", ends.clone()), &[(Reading, 9, Cancel(6))]),
+        trapped(row("cancellations at an election", ends.clone()), &[(Election, 9, Cancel(6))]),
         trapped(
-            row("cancelled as work is handed over", lose_workers.clone()),
+            row("cancellations while a new leader reads the records", ends.clone()),
+            &[(Reading, 9, Cancel(6))],
+        ),
+        trapped(
+            row("cancellations during a handover", worker_cuts.clone()),
             &[(Election, 3, Cancel(6)), (Reading, 3, Cancel(6))],
         ),
         trapped(
-            row("cancelled, and the writer ends before it learns", ends.clone()),
+            row("a cancellation is committed, and its writer ends before the answer", ends.clone()),
             &[(Cancellation, 4, EndWriter(300)), (Election, 4, Cancel(6))],
         ),
         trapped(
-            row("cancelled, and the writer ends before it is written", ends.clone()),
+            row("the writer of a cancellation ends before it is committed", ends.clone()),
             &[(Cancellation, 4, EndBefore(300)), (Reading, 4, Cancel(6))],
         ),
         trapped(
-            row("a new leader ends at its election, and again as it reads", ends.clone()),
+            row("new leaders end at their election, then as they read the records", ends.clone()),
             &[(Election, 2, EndWriter(50)), (Reading, 2, EndBefore(300))],
         ),
         trapped(
-            row("all end at an election", ends),
+            row("all controllers end at an election", ends),
             &[(Election, 1, EndAll(300)), (Reading, 1, EndAll(50))],
         ),
     ]
 }
 
-/// The refusal alone begins with the very transaction that cancels, and a second later nobody has the state service for
-/// longer than `cancel_s`.
-fn refusals() -> Vec<Row> {
-    let now = |hang| vec![(0, 1, CancelNow(14, hang)), (0, 60_000, Nothing)];
+/// The state service refuses one controller from the moment of its cancelling transaction on; a second later it is down
+/// for all, for longer than `cancel_s`.
+fn refusal_rows() -> Vec<Row> {
+    let cancel_at_once = |hang| vec![(0, 1, CancelNow(14, hang)), (0, 60_000, Nothing)];
     vec![
         trapped(
-            row("cancelled at the moment of the refusal alone, down a second later", now(0)),
+            row(
+                "one controller refused from its cancellation on, state service down a second later",
+                cancel_at_once(0),
+            ),
             &[(Cancellation, 1, RefuseThenDown(45_000))],
         ),
         trapped(
-            row("the same, on machines that hang", now(20_000)),
+            row("the same, on hanging machines", cancel_at_once(20_000)),
             &[(Cancellation, 1, RefuseThenDown(45_000))],
         ),
         trapped(
-            row("the same, and the leader loses its peers", now(0)),
+            row("the same, and the leader loses its peers", cancel_at_once(0)),
             &[(Cancellation, 1, RefuseThenDown(45_000)), (List, 1, LosePeers(50_000))],
         ),
         trapped(
-            row("refused alone between a list and a cancellation", now(8_000)),
+            row(
+                "one controller refused between an assignment and a cancellation",
+                cancel_at_once(8_000),
+            ),
             &[(List, 1, LoseAndRefuse(30_000)), (Cancellation, 1, Refuse(30_000))],
         ),
         trapped(
             row(
-                "a leader that lost its workers and is refused",
+                "a leader loses its workers and is refused",
                 vec![
                     (0, 1, CancelNow(10, 0)),
                     (8_000, 8_001, CancelNow(10, 0)),
@@ -233,51 +242,55 @@
     ]
 }
 
-fn rentals() -> Vec<Row> {
-    let few = |row: Row| Row { machines: 3, habits: Habits { rentable: 24, ..row.habits }, ..row };
+fn rental_rows() -> Vec<Row> {
+    let few_machines =
+        |row: Row| Row { machines: 3, habits: Habits { rentable: 24, ..row.habits }, ..row };
     vec![
-        few(row(
-            "new machines at once, slow writes, leaders end",
+        few_machines(row(
+            "machines boot at once, slow state service, leaders end",
             vec![(0, 40_000, Slow(500)), (4_000, 4_001, End(300)), (16_000, 16_001, End(8_000))],
         )),
-        few(row(
-            "new machines at once, late writes, leaders end",
+        few_machines(row(
+            "machines boot at once, late transactions, leaders end",
             vec![(0, 40_000, Late), (4_000, 4_001, End(300)), (16_000, 16_001, End(8_000))],
         )),
         trapped(
-            few(row(
-                "a leader ends as it records a rental, or what runs on a new machine",
+            few_machines(row(
+                "a leader ends as it records a rental, or the assignments of a new machine",
                 vec![(0, 30_000, LostAnswers), (6_000, 6_001, End(300))],
             )),
             &[(Rental, 2, EndWriter(300)), (List, 2, EndBefore(300))],
         ),
-        few(row(
+        few_machines(row(
             "the cloud's answers are lost, leaders end",
             vec![(0, 30_000, CloudMum), (5_000, 5_001, End(300)), (14_000, 14_001, AllEnd(300))],
         )),
     ]
 }
 
-fn floods() -> Vec<Row> {
-    let quick = Habits { run: Duration::from_secs(6), ..HABITS };
+fn load_rows() -> Vec<Row> {
+    let short = Habits { run: Duration::from_secs(6), ..HABITS };
     let single = Habits {
         every: Duration::from_millis(250),
         cancel: 3,
         mix: Mix::Single,
         limit: 60,
         odd: false,
-        ..quick
+        ..short
     };
-    let with = |habits, row: Row| Row { habits, ..row };
-    let ten = (0..10).map(|i| (i * 12_000, i * 12_000 + 1, End(300))).collect::<Schedule>();
-    let mut within = ten.clone();
-    within.push((30_000, 66_000, Down));
+    let with_habits = |habits, row: Row| Row { habits, ..row };
+    let ten_ends = (0..10).map(|i| (i * 12_000, i * 12_000 + 1, End(300))).collect::<Schedule>();
+    let mut with_outage = ten_ends.clone();
+    with_outage.push((30_000, 66_000, Down));
     vec![
-        with(single, row("one-task jobs four a second for minutes", vec![(0, 100_000, Nothing)])),
-        with(
+        with_habits(
+            single,
+            row("four one-task jobs a second for minutes", vec![(0, 100_000, Nothing)]),
+        ),
+        with_habits(
             single,
             row(
-                "one-task jobs four a second, leaders end",
+                "four one-task jobs a second, leaders end, answers lost",
                 vec![
                     (10_000, 10_001, End(300)),
                     (40_000, 40_001, End(8_000)),
@@ -285,18 +298,18 @@
                 ],
             ),
         ),
-        row("leaders change ten times in two minutes", ten),
-        row("leaders change ten times in two minutes, some within an outage", within),
+        row("ten changes of leader in two minutes", ten_ends),
+        row("ten changes of leader in two minutes, some within an outage", with_outage),
         Row {
             machines: 5,
-            ..with(
+            ..with_habits(
                 Habits {
                     run: Duration::from_secs(12),
                     every: Duration::from_millis(1_300),
                     ..HABITS
                 },
                 row(
-                    "more work than room, urgent and not, over slow links",
+                    "more work than capacity, of several priorities, over slow links",
                     vec![
                         (0, 40_000, Slow(300)),
                         (0, 40_000, Cut(0, Side::ToWorkers, Mode::Slow(1_500))),
@@ -309,70 +322,73 @@
     ]
 }
 
-fn play(rows: Vec<Row>) {
-    for r in rows {
-        let (reverse, with_end) = (reversed(&r.schedule), with_an_end(&r.schedule));
-        let both = with_an_end(&reverse);
-        let ways: [(&str, usize, &Schedule); 5] = [
-            ("", 3, &r.schedule),
-            ("", 5, &r.schedule),
+fn check_rows(rows: Vec<Row>) {
+    for row in rows {
+        let (reverse, with_end) = (reversed(&row.schedule), with_an_end(&row.schedule));
+        let reverse_with_end = with_an_end(&reverse);
+        let variants: [(&str, usize, &Schedule); 5] = [
+            ("", 3, &row.schedule),
+            ("", 5, &row.schedule),
             (", reversed", 3, &reverse),
-            (", and an end", 3, &with_end),
-            (", reversed, and an end", 5, &both),
+            (", with an end", 3, &with_end),
+            (", reversed, with an end", 5, &reverse_with_end),
         ];
-        for (i, (way, controllers, schedule)) in ways.into_iter().enumerate() {
+        for (i, (variant, controllers, schedule)) in variants.into_iter().enumerate() {
             let scene = Scene {
                 controllers,
-                machines: r.machines,
-                habits: r.habits,
+                machines: row.machines,
+                habits: row.habits,
                 schedule,
-                traps: &r.traps,
+                traps: &row.traps,
                 least: 60,
             };
-            let what = format!("{}{way}, {controllers} controllers", r.what);
-            let out = scene.holds(&what, 60 + i as u64);
-            assert!(out.sprung > 0 || r.traps.is_empty(), "{what}: never came about");
-            assert!(out.rented.0 > 3 || r.habits.rentable == 0, "{what}: none rented: {out:?}");
+            let name = format!("{}{variant}, {controllers} controllers", row.name);
+            let out = scene.holds(&name, 60 + i as u64);
+            assert!(out.sprung > 0 || row.traps.is_empty(), "{name}: no trap sprang");
+            assert!(
+                out.rented.0 > 3 || row.habits.rentable == 0,
+                "{name}: no machines rented: {out:?}"
+            );
         }
     }
 }
 
 #[test]
-fn teams_at_their_limit() {
-    play(limits());
+fn teams_at_their_limit_under_cancellations_and_failures() {
+    check_rows(team_limit_rows());
 }
 
 #[test]
-fn machines_that_hang_reach_nobody_or_are_lost() {
-    play(machines());
+fn machines_that_hang_are_cut_off_or_are_lost() {
+    check_rows(machine_failure_rows());
 }
 
 #[test]
-fn old_reports_as_a_new_leader_begins() {
-    play(reports());
+fn old_reports_during_a_takeover() {
+    check_rows(old_report_rows());
 }
 
 #[test]
-fn cancellations_while_work_changes_hands() {
-    play(hands());
+fn cancellations_during_elections_and_takeovers() {
+    check_rows(takeover_rows());
 }
 
 #[test]
-fn cancellations_at_the_moment_of_a_refusal() {
-    play(refusals());
+fn cancellations_as_the_state_service_refuses_their_writer() {
+    check_rows(refusal_rows());
 }
 
 #[test]
-fn machines_that_are_up_at_once() {
-    play(rentals());
+fn rented_machines_that_boot_at_once() {
+    check_rows(rental_rows());
 }
 
 #[test]
-fn one_task_jobs_in_a_flood() {
-    play(floods().drain(..2).collect());
+fn high_rate_of_one_task_jobs() {
+    check_rows(load_rows().drain(..2).collect());
 }
 
 #[test]
-fn many_changes_of_leader_and_more_work_than_room() {
-    play(floods().drain(2..).collect());
+fn many_changes_of_leader_and_more_work_than_capacity() {
+    check_rows(load_rows().drain(2..).collect());
 }
