--- a/crates/controller/tests/world/steps.rs
+++ b/crates/controller/tests/world/steps.rs
@@ -1,5 +1,5 @@
-//! Moments at the state service on which schedules hook what goes wrong: "in the seconds" and "at the very moment" are
-//! played at each step, and not by luck.
+//! Fault injection by request: recognizes what a controller sends to the state service (`Moment`) and applies a fault
+//! (`Act`) at exactly that request. Faults at a critical step so come about in each run, not by chance.
 
 use crate::World;
 use crate::network::{Host, Mode};
@@ -10,38 +10,42 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What a controller asks the state service for.
+/// The kind of a controller's request to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Moment {
-    /// The term is raised and the leader key taken.
+    /// The term is raised and the leader key written.
     Election,
-    /// A new leader reads the jobs.
+    /// A new leader reads the job records.
     Reading,
+    /// The record of a job that is not cancelled is written.
     Acceptance,
+    /// A job is recorded as cancelled.
     Cancellation,
-    /// How a job ended.
+    /// The final record of a job is written.
     Final,
-    /// What is on machines, alone or in a pack.
+    /// The assignments of machines are written, one machine by itself or in a pack.
     List,
-    /// Finished tasks.
+    /// Finished tasks are written.
     Range,
+    /// The rental of a machine is written.
     Rental,
-    /// What all controllers can, or which form records have.
+    /// The abilities of a controller or the stages in use are written.
     Stage,
 }
 
 use Moment::*;
 
 impl Moment {
-    /// The keys that a transaction puts, and their values.
+    /// Returns the keys that a transaction puts, and their values.
     fn puts(body: &[u8]) -> Vec<(String, Value)> {
         let body: Value = rmp_serde::from_slice(body).unwrap_or_default();
         let apply = body["apply"].as_array().into_iter().flatten();
-        let put = |c: &Value| Some((c["put"].as_str()?.to_string(), c["v"].clone()));
+        let put = |change: &Value| Some((change["put"].as_str()?.to_string(), change["v"].clone()));
         apply.filter_map(put).collect()
     }
 
-    /// What a request is, if it is any of these; what a transaction puts is looked at in this order.
+    /// Returns the kind of a request, if it has one. A transaction that puts several kinds of records counts as the first of
+    /// the order below.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Option<Moment> {
         if method == "GET" {
             return path.starts_with("/store?prefix=j/").then_some(Reading);
@@ -50,13 +54,13 @@
             return None;
         }
         let puts = Moment::puts(body);
-        let is = |m: Moment| {
-            puts.iter().any(|(key, v)| match m {
+        let is = |moment: Moment| {
+            puts.iter().any(|(key, value)| match moment {
                 Election => key == "c/term",
                 Stage => key == "c/stages" || key.starts_with("c/can/"),
                 Final => key.starts_with("f/"),
-                Cancellation => key.starts_with("j/") && v["cancelled"] == true,
-                Acceptance => key.starts_with("j/") && v["cancelled"] != true,
+                Cancellation => key.starts_with("j/") && value["cancelled"] == true,
+                Acceptance => key.starts_with("j/") && value["cancelled"] != true,
                 Rental => key.starts_with("r/"),
                 List => key.starts_with("m/") || key.starts_with("p/"),
                 Range => key.starts_with("d/"),
@@ -65,57 +69,61 @@
         };
         [Election, Stage, Final, Cancellation, Acceptance, Rental, List, Range]
             .into_iter()
-            .find(|m| is(*m))
+            .find(|moment| is(*moment))
     }
 }
 
-/// What happens at a moment.
+/// The fault injected at a request. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Act {
-    /// It is carried out, and its answer is lost.
+    /// The request is carried out and its answer is lost.
     LoseAnswer,
-    /// It gets no answer and is carried out so many milliseconds later.
+    /// The request is carried out after this time, without an answer.
     Delay(u64),
-    /// It is refused, and all that this controller asks from then on, for so many milliseconds.
+    /// The state service refuses the request and all others of this controller, for this time.
     Refuse(u64),
-    /// It is carried out, its answer lost, and all that this controller asks then is refused for so long.
+    /// The request is carried out, its answer is lost, and all later requests of this controller are refused for this time.
     LoseAndRefuse(u64),
-    /// The same; a second later the state service is down for all, for so long.
+    /// As `LoseAndRefuse`, and a second later the state service goes down for all; both end after this time.
     RefuseThenDown(u64),
-    /// It is carried out, and its writer ends before it learns; back after so many milliseconds.
+    /// The request is carried out, and its writer ends before it gets the answer; it is back after this time.
     EndWriter(u64),
-    /// Its writer ends, and the request with it.
+    /// The writer ends and the request is never carried out; the writer is back after this time.
     EndBefore(u64),
-    /// All controllers end once it is carried out.
+    /// All controllers end once the request is carried out; they are back after this time.
     EndAll(u64),
-    /// Its writer loses the other controllers, or the workers, for so long.
+    /// The writer loses its links to the other controllers for this time.
     LosePeers(u64),
+    /// The writer loses its links to the workers for this time.
     LoseWorkers(u64),
-    /// Users call off this many jobs that run, all at once.
+    /// Users cancel this many running jobs at once.
     Cancel(usize),
-    /// The copies of reports that were kept reach every controller.
+    /// The kept copies of reports are delivered to every controller.
     Release,
-    /// Users ask about the very jobs whose ends are being recorded, at all controllers, repeat their submissions and
-    /// cancel them.
+    /// Users query, resubmit and cancel the jobs whose final records are being written, at all controllers.
     Meet,
 }
 
-/// From the time at which it is set, what happens at the next so many of these moments.
+/// Applies a fault to the next `times` requests of one kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Trap {
+    /// The kind of request that triggers the fault.
     pub at: Moment,
+    /// How often it triggers.
     pub times: u32,
+    /// The fault.
     pub act: Act,
 }
 
-/// What the state service does with a request.
+/// How the state service handles a request.
 pub enum Fate {
-    /// Answers it.
+    /// Carries it out and answers.
     Answer,
+    /// Answers with a refusal.
     Refuse,
-    /// Carries it out after so long, and never answers.
+    /// Carries it out after this time and never answers.
     Silent(Duration),
-    /// Never gets it.
+    /// Never receives it.
     Gone,
 }
 
@@ -123,33 +131,44 @@
     Duration::from_millis(n)
 }
 
-fn later(world: &Arc<World>, after: u64, f: impl FnOnce(&Arc<World>) + Send + 'static) {
+/// Runs `f` after this many milliseconds.
+fn run_after(world: &Arc<World>, delay_ms: u64, f: impl FnOnce(&Arc<World>) + Send + 'static) {
     let world = world.clone();
     tokio::spawn(async move {
-        sleep(ms(after)).await;
+        sleep(ms(delay_ms)).await;
         f(&world);
     });
 }
 
-fn refuse(world: &Arc<World>, who: usize, time: u64) {
-    world.store.lock().expect("lock").refuses.insert(who);
-    later(world, time, move |w| {
-        w.store.lock().expect("lock").refuses.remove(&who);
+/// Lets the state service refuse this controller for this many milliseconds.
+fn refuse(world: &Arc<World>, controller: usize, time_ms: u64) {
+    world.store.lock().expect("lock").refuses.insert(controller);
+    run_after(world, time_ms, move |w| {
+        w.store.lock().expect("lock").refuses.remove(&controller);
     });
 }
 
-fn cut(world: &Arc<World>, who: usize, side: Side, time: u64) {
-    set(world, who, side, Some(Mode::Hold));
-    later(world, time, move |w| set(w, who, side, None));
+/// Cuts these links of this controller for this many milliseconds.
+fn cut(world: &Arc<World>, controller: usize, side: Side, time_ms: u64) {
+    set(world, controller, side, Some(Mode::Hold));
+    run_after(world, time_ms, move |w| set(w, controller, side, None));
 }
 
 impl World {
-    /// A controller asks the state service for something: springs the trap that is set there, if any is.
-    pub fn at_store(self: &Arc<Self>, who: usize, method: &str, path: &str, body: &[u8]) -> Fate {
+    /// Springs the trap that is set for this request of a controller, if there is one. Returns how the state service handles
+    /// the request.
+    pub fn at_store(
+        self: &Arc<Self>,
+        controller: usize,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Fate {
         let Some(moment) = Moment::of(method, path, body) else { return Fate::Answer };
         let act = {
             let mut traps = self.traps.lock().expect("lock");
-            let Some(trap) = traps.iter_mut().find(|t| t.at == moment && t.times > 0) else {
+            let Some(trap) = traps.iter_mut().find(|trap| trap.at == moment && trap.times > 0)
+            else {
                 return Fate::Answer;
             };
             trap.times -= 1;
@@ -160,37 +179,37 @@
             Act::LoseAnswer => Fate::Silent(Duration::ZERO),
             Act::Delay(time) => Fate::Silent(ms(time)),
             Act::Refuse(time) => {
-                refuse(self, who, time);
+                refuse(self, controller, time);
                 Fate::Refuse
             }
             Act::LoseAndRefuse(time) => {
-                later(self, 0, move |w| refuse(w, who, time));
+                run_after(self, 0, move |w| refuse(w, controller, time));
                 Fate::Silent(Duration::ZERO)
             }
             Act::RefuseThenDown(time) => {
-                later(self, 0, move |w| refuse(w, who, time));
-                later(self, 1_000, |w| w.store.lock().expect("lock").set_down(true));
-                later(self, time, |w| w.store.lock().expect("lock").set_down(false));
+                run_after(self, 0, move |w| refuse(w, controller, time));
+                run_after(self, 1_000, |w| w.store.lock().expect("lock").set_down(true));
+                run_after(self, time, |w| w.store.lock().expect("lock").set_down(false));
                 Fate::Silent(Duration::ZERO)
             }
             Act::EndWriter(back) => {
-                later(self, 0, move |w| w.end_if_up(who, back));
+                run_after(self, 0, move |w| w.end_if_up(controller, back));
                 Fate::Silent(Duration::ZERO)
             }
             Act::EndBefore(back) => {
-                self.end_if_up(who, back);
+                self.end_if_up(controller, back);
                 Fate::Gone
             }
             Act::EndAll(back) => {
-                later(self, 0, move |w| (0..w.count()).for_each(|ix| w.end_if_up(ix, back)));
+                run_after(self, 0, move |w| (0..w.count()).for_each(|ix| w.end_if_up(ix, back)));
                 Fate::Silent(Duration::ZERO)
             }
             Act::LosePeers(time) => {
-                cut(self, who, Side::Peers, time);
+                cut(self, controller, Side::Peers, time);
                 Fate::Answer
             }
             Act::LoseWorkers(time) => {
-                cut(self, who, Side::Workers, time);
+                cut(self, controller, Side::Workers, time);
                 Fate::Answer
             }
             Act::Cancel(n) => {
@@ -211,27 +230,29 @@
         }
     }
 
-    pub fn end_if_up(self: &Arc<Self>, ix: usize, back: u64) {
+    /// Ends this controller, unless its process is down already; it is back after this many milliseconds.
+    pub fn end_if_up(self: &Arc<Self>, ix: usize, back_ms: u64) {
         if !self.is_down(ix) {
-            self.end_for(ix, back);
+            self.end_for(ix, back_ms);
         }
     }
 
-    /// A copy of this report is kept for the next leader, while they are.
+    /// Keeps a copy of a worker's report for the next leader, while `keeps` is set.
     pub fn keep_copy(&self, from: Host, body: &[u8]) {
         if self.keeps.load(std::sync::atomic::Ordering::Relaxed) {
             self.kept.lock().expect("lock").push((from, body.to_vec()));
         }
     }
 
-    /// All copies that were kept reach every controller, now and again soon after.
+    /// Delivers all kept copies to every controller, now and three more times within 1.2 s.
     pub fn release(self: &Arc<Self>) {
         for (from, body) in std::mem::take(&mut *self.kept.lock().expect("lock")) {
-            for (to, after) in (0..self.count()).flat_map(|to| [0, 40, 300, 1_200].map(|a| (to, a)))
+            for (to, delay_ms) in
+                (0..self.count()).flat_map(|to| [0, 40, 300, 1_200].map(|delay_ms| (to, delay_ms)))
             {
                 let (world, body) = (self.clone(), body.clone());
                 tokio::spawn(async move {
-                    sleep(ms(after)).await;
+                    sleep(ms(delay_ms)).await;
                     let _ = tokio::time::timeout(ms(4_000), world.ask(from, to, Op::Report, &body))
                         .await;
                 });
