--- a/crates/controller/tests/world/known.rs
+++ b/crates/controller/tests/world/known.rs
@@ -1,6 +1,6 @@
-//! Every accepted job stays known, whatever happens between machines: questions about each are answered again within
-//! seconds once the troubles are over. Machines that are heard and don't hear, late copies of reports, controllers that
-//! have nobody but their workers, ends in the middle; alone and together.
+//! Every accepted job stays known through failures: queries about each are answered within seconds once the failures are
+//! over. The failures are unresponsive machines that still report, late copies of reports, controllers that reach only
+//! their workers and users, and ends of leaders during these; one at a time and combined.
 
 use crate::network::Mode;
 use crate::troubles::Trouble::{self, *};
@@ -9,72 +9,72 @@
 use std::time::Duration;
 
 struct Row {
-    what: &'static str,
+    name: &'static str,
     controllers: usize,
-    /// From which second on, and until when.
+    /// Start and end of each failure, in seconds.
     troubles: &'static [(u64, u64, Trouble)],
-    /// Tasks that leases may end: on machines that nobody can renew.
-    killed: usize,
-    /// Seconds that a submission may take.
-    submit: u64,
+    /// Maximum number of tasks killed by expired leases, on machines whose lease no controller can renew.
+    max_killed: usize,
+    /// Maximum time of a submission, in seconds.
+    submit_s: u64,
 }
 
-const fn row(what: &'static str, troubles: &'static [(u64, u64, Trouble)], submit: u64) -> Row {
-    Row { what, controllers: 3, troubles, killed: 0, submit }
+const fn row(name: &'static str, troubles: &'static [(u64, u64, Trouble)], submit_s: u64) -> Row {
+    Row { name, controllers: 3, troubles, max_killed: 0, submit_s }
 }
 
-/// Twelve machines of 8 CPUs: what may run on those of a zone when they stop hearing.
-const ZONE: usize = 12 * 8;
+/// The most tasks of one CPU that the twelve 8-CPU machines of a zone can run when they become unresponsive.
+const ZONE_TASKS: usize = 12 * 8;
 
 const ROWS: [Row; 12] = [
-    Row { killed: ZONE, ..row("a zone does not hear", &[(0, 40, Deaf(1))], 3) },
+    Row { max_killed: ZONE_TASKS, ..row("an unresponsive zone", &[(0, 40, Deaf(1))], 3) },
     Row {
-        killed: 2 * ZONE,
+        max_killed: 2 * ZONE_TASKS,
         ..row(
-            "two zones do not hear, one after the other",
+            "two unresponsive zones, one after the other",
             &[(0, 40, Deaf(1)), (10, 40, Deaf(2))],
             3,
         )
     },
     Row {
-        killed: ZONE,
+        max_killed: ZONE_TASKS,
         ..row(
-            "a zone does not hear, and the leader ends",
+            "an unresponsive zone, and the leader ends",
             &[(0, 40, Deaf(0)), (20, 21, End(300))],
             4,
         )
     },
-    row("late copies", &[(0, 60, Copies)], 2),
+    row("late copies of reports", &[(0, 60, Copies)], 2),
     row(
-        "late copies, and all end",
+        "late copies of reports, and all controllers end",
         &[(0, 70, Copies), (25, 26, AllEnd(50)), (50, 51, AllEnd(300))],
         4,
     ),
     row(
-        "late copies, and leaders end in turn",
+        "late copies of reports, and leaders end in turn",
         &[(0, 70, Copies), (20, 21, End(8000)), (45, 46, End(300))],
         8,
     ),
-    row("leader alone with its workers", &[(0, 40, Alone(0, Mode::Hold))], 8),
-    row("leader alone with its workers, refused", &[(0, 40, Alone(0, Mode::Refuse))], 8),
-    row("second alone with its workers", &[(0, 40, Alone(1, Mode::Hold))], 8),
+    row("leader with only workers and users", &[(0, 40, Alone(0, Mode::Hold))], 8),
+    row("leader with only workers and users, links refused", &[(0, 40, Alone(0, Mode::Refuse))], 8),
+    row("second controller with only workers and users", &[(0, 40, Alone(1, Mode::Hold))], 8),
     row(
-        "leader alone, and its successor ends",
+        "leader with only workers and users, and its successor ends",
         &[(0, 40, Alone(0, Mode::Hold)), (15, 16, End(300))],
         8,
     ),
     Row {
         controllers: 5,
         ..row(
-            "two of five alone",
+            "two of five controllers with only workers and users",
             &[(0, 40, Alone(0, Mode::Hold)), (5, 40, Alone(1, Mode::Refuse))],
             8,
         )
     },
     Row {
-        killed: ZONE,
+        max_killed: ZONE_TASKS,
         ..row(
-            "all three, and an end",
+            "unresponsive zone, late copies, leader with only workers and users, and an end",
             &[(0, 45, Deaf(2)), (0, 60, Copies), (10, 50, Alone(0, Mode::Hold)), (30, 31, End(50))],
             8,
         )
@@ -85,11 +85,14 @@
     let world = World::start(row.controllers, 36, seed).await;
     let mut out = Outcome::default();
     world.watch(Duration::from_secs(14), &mut Outcome::default()).await;
-    let first = world.leader().expect("somebody leads by now");
+    let first_leader = world.leader().expect("no leader after 14 s");
     world.begin();
-    let troubles: Vec<(u64, u64, Trouble)> =
-        row.troubles.iter().map(|(from, until, t)| (from * 1000, until * 1000, *t)).collect();
-    world.play(&troubles, &mut out, |t, on| begin(&world, first, t, on)).await;
+    let troubles: Vec<(u64, u64, Trouble)> = row
+        .troubles
+        .iter()
+        .map(|(from, until, trouble)| (from * 1000, until * 1000, *trouble))
+        .collect();
+    world.play(&troubles, &mut out, |trouble, on| begin(&world, first_leader, trouble, on)).await;
     world.calm();
     world.watch(Duration::from_secs(30), &mut out).await;
     world.sum(&mut out);
@@ -97,44 +100,44 @@
     out
 }
 
-fn all_stay_known(rows: &[Row]) {
-    for r in rows {
-        let out = run(play(r, 2));
+fn check_rows(rows: &[Row]) {
+    for row in rows {
+        let out = run(play(row, 2));
         println!(
             "{}: killed {}, worst submission {:.1} s, unanswered {:.1} s, without a leader {:.1} s, changes {}",
-            r.what,
+            row.name,
             out.killed,
             out.worst.as_secs_f64(),
             out.unanswered.as_secs_f64(),
             out.leaderless.as_secs_f64(),
             out.changes
         );
-        assert!(out.killed <= r.killed, "{}: {out:?}", r.what);
-        assert!(out.started > 100, "{}: {out:?}", r.what);
-        assert!(out.worst <= Duration::from_secs(r.submit), "{}: {out:?}", r.what);
+        assert!(out.killed <= row.max_killed, "{}: {out:?}", row.name);
+        assert!(out.started > 100, "{}: {out:?}", row.name);
+        assert!(out.worst <= Duration::from_secs(row.submit_s), "{}: {out:?}", row.name);
         // Users count a job as forgotten after 75 s. They ask every 5 s, and wait up to 2 s.
-        assert!(out.unanswered <= Duration::from_secs(13), "{}: {out:?}", r.what);
+        assert!(out.unanswered <= Duration::from_secs(13), "{}: {out:?}", row.name);
     }
 }
 
-// Four tests, so that they share the cores.
+// Four tests, so that they run in parallel.
 
 #[test]
-fn jobs_stay_known_where_machines_do_not_hear() {
-    all_stay_known(&ROWS[..3]);
+fn jobs_stay_known_while_machines_are_unresponsive() {
+    check_rows(&ROWS[..3]);
 }
 
 #[test]
-fn jobs_stay_known_where_reports_come_again() {
-    all_stay_known(&ROWS[3..6]);
+fn jobs_stay_known_while_copies_of_reports_arrive_late() {
+    check_rows(&ROWS[3..6]);
 }
 
 #[test]
-fn jobs_stay_known_where_a_controller_is_alone_with_its_workers() {
-    all_stay_known(&ROWS[6..9]);
+fn jobs_stay_known_while_a_controller_reaches_only_workers_and_users() {
+    check_rows(&ROWS[6..9]);
 }
 
 #[test]
-fn jobs_stay_known_where_all_of_it_meets() {
-    all_stay_known(&ROWS[9..]);
+fn jobs_stay_known_in_combined_failures() {
+    check_rows(&ROWS[9..]);
 }
