--- a/crates/controller/tests/world/answers.rs
+++ b/crates/controller/tests/world/answers.rs
@@ -1,6 +1,7 @@
-//! What users are told, by whichever controller, whatever it knows: no answer is older than one that had arrived before
-//! it was asked for. Users ask at all controllers within milliseconds, repeat submissions, cancel at once; transactions
-//! are carried out and their answers lost, one by one and at random; writers end before they learn.
+//! Answers to users never go back: no controller's answer shows an older state than an answer that had arrived before its
+//! request was sent. Users query all controllers within milliseconds, repeat submissions and cancel at once, while
+//! answers of the state service are lost, one kind of transaction at a time or at random, and writers end before they get
+//! an answer.
 
 use crate::network::Mode;
 use crate::scenes::{Scene, Schedule};
@@ -10,8 +11,9 @@
 use crate::steps::Trap;
 use crate::troubles::Trouble::*;
 
-/// With each kind of transaction: its answer alone is lost, once or often; what is refused alone from then on; its writer
-/// ends before it learns, or before it is carried out; it is carried out seconds later.
+/// The faults tried with each kind of transaction, and how often each is injected: the answer is lost, once or often; the
+/// answer is lost and the writer refused from then on; the writer ends before it gets the answer, or before the
+/// transaction is carried out; the transaction is carried out seconds later.
 const ACTS: [(Act, u32); 7] = [
     (LoseAnswer, 1),
     (LoseAnswer, 12),
@@ -22,79 +24,80 @@
     (Delay(6_000), 6),
 ];
 
-fn kind_by_kind(kinds: &[Moment]) {
-    for at in kinds {
+fn check_each_fault(moments: &[Moment]) {
+    for at in moments {
         for (i, (act, times)) in ACTS.into_iter().enumerate() {
             let controllers = if i % 2 == 0 { 3 } else { 5 };
-            // Elections come with ends; of the followers one has to read the records for itself.
-            let reads = (0, 20_000, Cut(1, Side::Peers, Mode::Hold));
-            let ends = [(2_000, 2_001, End(300)), (14_000, 14_001, End(8_000)), reads];
-            let schedule: &[_] = if *at == Election { &ends } else { &[reads] };
+            // Elections need ends of leaders. One follower has no links to its peers, so that it has to read the records itself.
+            let peer_cut = (0, 20_000, Cut(1, Side::Peers, Mode::Hold));
+            let ends = [(2_000, 2_001, End(300)), (14_000, 14_001, End(8_000)), peer_cut];
+            let schedule: &[_] = if *at == Election { &ends } else { &[peer_cut] };
             let traps = [Trap { at: *at, times, act }];
-            let what = format!("{at:?}, {act:?} {times} times, {controllers} controllers");
+            let name = format!("{at:?}, {act:?} {times} times, {controllers} controllers");
             let scene = Scene { controllers, traps: &traps, ..Scene::of(schedule) };
-            let out = scene.holds(&what, 20 + i as u64);
-            assert!(out.sprung > 0, "{what}: never came about");
+            let out = scene.holds(&name, 20 + i as u64);
+            assert!(out.sprung > 0, "{name}: no trap sprang");
         }
     }
 }
 
 #[test]
-fn nobody_says_anything_older_whatever_becomes_of_a_cancellation() {
-    kind_by_kind(&[Cancellation]);
+fn answers_never_go_back_when_a_cancellation_meets_a_fault() {
+    check_each_fault(&[Cancellation]);
 }
 
 #[test]
-fn nobody_says_anything_older_whatever_becomes_of_an_end() {
-    kind_by_kind(&[Final]);
+fn answers_never_go_back_when_a_final_record_meets_a_fault() {
+    check_each_fault(&[Final]);
 }
 
 #[test]
-fn nobody_says_anything_older_whatever_becomes_of_an_acceptance_or_an_election() {
-    kind_by_kind(&[Acceptance, Election]);
+fn answers_never_go_back_when_an_acceptance_or_election_meets_a_fault() {
+    check_each_fault(&[Acceptance, Election]);
 }
 
 #[test]
-fn nobody_says_anything_older_whatever_becomes_of_lists_and_ranges() {
-    kind_by_kind(&[List, Range]);
+fn answers_never_go_back_when_records_of_assignments_or_finished_tasks_meet_a_fault() {
+    check_each_fault(&[List, Range]);
 }
 
-/// Guards against two ends of one job: a cancellation, a question and a repeated submission meet the record of its end.
+/// Guards against a job with two outcomes: a cancellation, a query and a repeated submission arrive while its final record
+/// is being written.
 #[test]
-fn a_job_that_is_cancelled_as_it_ends_has_one_end() {
+fn job_cancelled_as_it_finishes_has_one_outcome() {
     let ends = [(8_000, 8_001, End(300)), (30_000, 30_001, End(8_000))];
-    let lost = [(0, 40_000, LostAnswers)];
-    for (what, schedule) in [
-        ("no other trouble", &[(0, 40_000, Nothing)][..]),
+    let lost_answers = [(0, 40_000, LostAnswers)];
+    for (name, schedule) in [
+        ("no other failure", &[(0, 40_000, Nothing)][..]),
         ("leaders end", &ends),
-        ("answers lost", &lost),
+        ("answers lost", &lost_answers),
     ] {
         for controllers in [3, 5] {
             let traps = [Trap { at: Final, times: u32::MAX, act: Meet }];
-            let out = Scene { controllers, traps: &traps, ..Scene::of(schedule) }.holds(what, 50);
-            assert!(out.sprung > 10, "{what}: {out:?}");
+            let out = Scene { controllers, traps: &traps, ..Scene::of(schedule) }.holds(name, 50);
+            assert!(out.sprung > 10, "{name}: {out:?}");
         }
     }
 }
 
-/// Close looks with other troubles beside.
-fn meetings() -> Vec<(&'static str, Schedule)> {
+/// Failures during which users query all controllers within milliseconds.
+fn failures() -> Vec<(&'static str, Schedule)> {
     vec![
-        ("no trouble", vec![(0, 20_000, Nothing)]),
+        ("no failure", vec![(0, 20_000, Nothing)]),
         ("a third of the answers lost", vec![(0, 40_000, LostAnswers)]),
         (
             "answers lost, leaders end",
             vec![(0, 40_000, LostAnswers), (9_000, 9_001, End(300)), (21_000, 21_001, End(8_000))],
         ),
         (
-            "answers lost, refused alone",
+            "answers lost, leader refused",
             vec![(0, 40_000, LostAnswers), (8_000, 30_000, Refused(0))],
         ),
         (
-            "answers lost, refused alone, then down",
+            "answers lost, leader refused, outage",
             vec![(0, 60_000, LostAnswers), (6_000, 58_000, Refused(0)), (7_000, 50_000, Down)],
         ),
-        ("transactions late, a leader ends", vec![(0, 40_000, Late), (12_000, 12_001, End(300))]),
+        ("late transactions, a leader ends", vec![(0, 40_000, Late), (12_000, 12_001, End(300))]),
         (
             "a follower without peers",
             vec![(0, 30_000, Cut(1, Side::Peers, Mode::Hold)), (5_000, 35_000, LostAnswers)],
@@ -104,32 +107,32 @@
             vec![(0, 30_000, Cut(0, Side::Peers, Mode::Refuse)), (3_000, 33_000, Slow(250))],
         ),
         (
-            "a leader alone with workers and users",
+            "a leader with only workers and users",
             vec![(0, 40_000, Alone(0, Mode::Hold)), (5_000, 30_000, LostAnswers)],
         ),
         (
-            "leaders change ten times",
+            "ten changes of leader",
             (0..10).map(|i| (i * 12_000, i * 12_000 + 1, End(300))).collect(),
         ),
     ]
 }
 
-fn close_looks(from: usize, to: usize) {
-    for (what, schedule) in &meetings()[from..to] {
+fn check_rows(from: usize, to: usize) {
+    for (name, schedule) in &failures()[from..to] {
         for controllers in [3, 5] {
             let scene = Scene { controllers, ..Scene::of(schedule) };
-            let out = scene.holds(&format!("{what}, {controllers} controllers"), 40);
-            assert!(out.looks.0 > 400 && out.bad > 10, "{what}: {out:?}");
+            let out = scene.holds(&format!("{name}, {controllers} controllers"), 40);
+            assert!(out.looks.0 > 400 && out.bad > 10, "{name}: {out:?}");
         }
     }
 }
 
 #[test]
-fn close_looks_find_nothing_older() {
-    close_looks(0, 5);
+fn answers_never_go_back_when_answers_are_lost() {
+    check_rows(0, 5);
 }
 
 #[test]
-fn close_looks_find_nothing_older_where_controllers_are_cut_off() {
-    close_looks(5, meetings().len());
+fn answers_never_go_back_when_controllers_are_cut_off_or_end() {
+    check_rows(5, failures().len());
 }
--- a/crates/controller/tests/world/drawn.rs
+++ b/crates/controller/tests/world/drawn.rs
@@ -1,4 +1,4 @@
-//! Drawn schedules in the world with everything in it: two to four troubles, old and new, and up to two traps.
+//! Random scenes: two to four overlapping failures and up to two traps, with a random mix of users and machines.
 
 use crate::network::Mode;
 use crate::scenes::{HABITS, Scene, Schedule};
@@ -12,14 +12,15 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
+/// The requests on which a random trap may be set.
 const MOMENTS: [Moment; 8] =
     [Election, Reading, Acceptance, Cancellation, Final, List, Range, Rental];
 
-fn pick<T: Copy>(rng: &mut StdRng, of: &[T]) -> T {
-    of[rng.random_range(0..of.len())]
+fn pick<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
+    choices[rng.random_range(0..choices.len())]
 }
 
-fn trouble(rng: &mut StdRng) -> Trouble {
+fn random_trouble(rng: &mut StdRng) -> Trouble {
     let n = rng.random_range(0..3);
     let mode = pick(rng, &[Mode::Hold, Mode::Refuse]);
     let back = pick(rng, &[50, 300, 8_000, 20_000]);
@@ -48,7 +49,7 @@
     }
 }
 
-fn trap(rng: &mut StdRng) -> Trap {
+fn random_trap(rng: &mut StdRng) -> Trap {
     let time = rng.random_range(500..40_000);
     let back = pick(rng, &[50, 300, 8_000]);
     let act: Act = match rng.random_range(0..10) {
@@ -65,20 +66,20 @@
     Trap { at: pick(rng, &MOMENTS), times: rng.random_range(1..4), act }
 }
 
-/// Plays what this seed draws; the rules are held within.
-fn play(seed: u64) {
+/// Plays the scene drawn from this seed; the safety rules are checked while it runs.
+fn check_seed(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut schedule: Schedule = vec![];
     for i in 0..rng.random_range(2..5) {
-        let t = trouble(&mut rng);
+        let trouble = random_trouble(&mut rng);
         let from = if i == 0 { 0 } else { rng.random_range(0..25_000) };
-        let lasts = match t {
+        let lasts = match trouble {
             End(_) | AllEnd(_) | CancelNow(..) | Hang(_) => 1,
             _ => rng.random_range(2_000..50_000),
         };
-        schedule.push((from, from + lasts, t));
+        schedule.push((from, from + lasts, trouble));
     }
-    let traps: Vec<Trap> = (0..rng.random_range(0..3)).map(|_| trap(&mut rng)).collect();
+    let traps: Vec<Trap> = (0..rng.random_range(0..3)).map(|_| random_trap(&mut rng)).collect();
     let looks = rng.random_bool(0.4);
     let habits = Habits {
         run: Duration::from_secs(pick(&mut rng, &[8, 20, 40])),
@@ -94,29 +95,30 @@
     let controllers = pick(&mut rng, &[3, 3, 5]);
     let scene =
         Scene { controllers, machines, habits, schedule: &schedule, traps: &traps, least: 25 };
-    let what = format!("seed {seed}");
-    let play = || scene.holds(&what, seed);
-    if let Err(cause) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(play)) {
-        eprintln!("seed {seed} breaks a rule, {controllers} controllers, {machines} machines:");
+    let name = format!("seed {seed}");
+    let play_once = || scene.holds(&name, seed);
+    if let Err(cause) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(play_once)) {
+        eprintln!("seed {seed} violates a rule, {controllers} controllers, {machines} machines:");
         eprintln!("{schedule:?}\n{traps:?}");
         std::panic::resume_unwind(cause);
     }
 }
 
 #[test]
-fn rules_hold_in_drawn_scenes() {
-    (0..12).for_each(play);
+fn rules_hold_in_random_scenes() {
+    (0..12).for_each(check_seed);
 }
 
 #[test]
-fn rules_hold_in_more_drawn_scenes() {
-    (12..24).for_each(play);
+fn rules_hold_in_more_random_scenes() {
+    (12..24).for_each(check_seed);
 }
 
 #[test]
-#[ignore = "minutes: SCENES=FROM..TO plays these seeds, by default a hundred"]
-fn rules_hold_in_many_drawn_scenes() {
+#[ignore = "takes minutes; SCENES=FROM..TO sets the seeds, 1000..1100 by default"]
+fn rules_hold_in_many_random_scenes() {
     let range = std::env::var("SCENES").unwrap_or_else(|_| "1000..1100".into());
-    let (from, to) = range.split_once("..").expect("FROM..TO");
-    (from.parse().expect("a number")..to.parse().expect("a number")).for_each(play);
+    let (from, to) = range.split_once("..").expect("SCENES must be FROM..TO");
+    (from.parse().expect("FROM must be a number")..to.parse().expect("TO must be a number"))
+        .for_each(check_seed);
 }
--- a/crates/controller/tests/world/scenes.rs
+++ b/crates/controller/tests/world/scenes.rs
@@ -1,4 +1,5 @@
-//! A world with everything in it, in which a schedule of troubles is played and traps are set; what must hold after it.
+//! A scene: a world with users, workers and controllers in which a schedule of failures is played and traps are set, and
+//! what must hold afterwards.
 
 use crate::steps::Trap;
 use crate::troubles::{Trouble, begin};
@@ -6,20 +7,27 @@
 use crate::{Outcome, World, run};
 use std::time::Duration;
 
-/// From which moment on, and until when, in milliseconds.
+/// Failures with their start and end, in milliseconds from the start of the schedule.
 pub type Schedule = Vec<(u64, u64, Trouble)>;
 
+/// The parameters of one run.
 #[derive(Clone, Copy)]
 pub struct Scene<'a> {
+    /// Number of controllers.
     pub controllers: usize,
+    /// Number of machines at the start; rented ones are counted in `habits`.
     pub machines: usize,
+    /// What users submit, query and cancel.
     pub habits: Habits,
+    /// The failures to play.
     pub schedule: &'a [(u64, u64, Trouble)],
+    /// Faults injected at requests to the state service while the failures are played.
     pub traps: &'a [Trap],
-    /// Tasks that have to be started for it to show anything.
+    /// Tasks that have to be started for the scene to show anything.
     pub least: usize,
 }
 
+/// Users that submit all kinds of jobs, query all controllers closely and send invalid jobs.
 pub const HABITS: Habits = Habits {
     every: Duration::from_millis(900),
     run: Duration::from_secs(18),
@@ -32,19 +40,23 @@
 };
 
 impl<'a> Scene<'a> {
+    /// Returns a scene with three controllers, 18 machines, `HABITS` and no traps.
     pub fn of(schedule: &'a [(u64, u64, Trouble)]) -> Scene<'a> {
         Scene { controllers: 3, machines: 18, habits: HABITS, schedule, traps: &[], least: 60 }
     }
 
-    /// Troubles from 35 s after the start on, and traps that are set when they begin; 100 s of calm then.
+    /// Plays the failures from 35 s after the start, with the traps set when they begin. Users submit no more jobs then, the
+    /// traps stay for another 30 s, and 100 s without failures follow.
     async fn play(&self, seed: u64) -> Outcome {
         let world = World::with(self.controllers, self.machines, seed, self.habits).await;
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(35), &mut Outcome::default()).await;
-        let first = world.leader().expect("somebody leads by now");
+        let first_leader = world.leader().expect("no leader after 35 s");
         world.begin();
         world.traps.lock().expect("lock").extend(self.traps);
-        world.play(self.schedule, &mut out, |t, on| begin(&world, first, t, on)).await;
+        world
+            .play(self.schedule, &mut out, |trouble, on| begin(&world, first_leader, trouble, on))
+            .await;
         world.users.lock().expect("lock").enough = true;
         world.watch(Duration::from_secs(30), &mut out).await;
         world.traps.lock().expect("lock").clear();
@@ -55,17 +67,17 @@
         out
     }
 
-    /// Plays it and holds what must hold after every schedule; the rules are held within.
-    pub fn holds(&self, what: &str, seed: u64) -> Outcome {
+    /// Plays the scene and checks what must hold after every one; the safety rules are checked while it runs.
+    pub fn holds(&self, name: &str, seed: u64) -> Outcome {
         let out = run(self.play(seed));
         assert!(
             out.started > self.least && out.cancelled > self.least / 15,
-            "{what}: too little to break: {out:?}"
+            "{name}: too few starts or cancellations to show a violation: {out:?}"
         );
         // Users count a job as forgotten after 75 s.
-        assert!(out.unanswered <= Duration::from_secs(20), "{what}: {out:?}");
+        assert!(out.unanswered <= Duration::from_secs(20), "{name}: {out:?}");
         println!(
-            "{what}: answers {} and {} put off, killed {}, cancelled {} and there for {:.1} s, started after that {}, unanswered {:.1} s, idle {:.1} s, changes {}, sprung {}, without answer {}, bad {}, rented {}",
+            "{name}: answers {} and {} deferred, killed {}, cancelled {} and ran on for {:.1} s, started after that {}, unanswered {:.1} s, idle {:.1} s, changes {}, traps sprung {}, transactions without answer {}, invalid jobs rejected {}, rented {}",
             out.looks.0,
             out.looks.1,
             out.killed,
@@ -84,13 +96,13 @@
     }
 }
 
-/// The schedule run backwards: what came last comes first.
+/// Returns the schedule in reverse order of time.
 pub fn reversed(schedule: &Schedule) -> Schedule {
     let end = schedule.iter().map(|(_, until, _)| *until).max().unwrap_or_default();
-    schedule.iter().map(|(from, until, t)| (end - until, end - from, *t)).collect()
+    schedule.iter().map(|(from, until, trouble)| (end - until, end - from, *trouble)).collect()
 }
 
-/// The schedule with the end of whoever leads in the middle of it.
+/// Returns the schedule with one more end of the current leader, halfway through.
 pub fn with_an_end(schedule: &Schedule) -> Schedule {
     let end = schedule.iter().map(|(_, until, _)| *until).max().unwrap_or_default();
     let mut out = schedule.clone();
--- a/crates/controller/tests/world/stages.rs
+++ b/crates/controller/tests/world/stages.rs
@@ -1,50 +1,54 @@
-//! Packs are switched on when all controllers have recorded that they can, and not before; machines' lists move
-//! while controllers end and come back.
+//! Packs (one stored value with the assignments of several machines) are enabled once all controllers have recorded the
+//! ability, and not before. Assignments then move into packs while controllers end and restart.
 
 use crate::network::{Host, Mode};
 use crate::{Outcome, World, both, run};
 use std::time::Duration;
 
-fn keys(world: &World, prefix: &str) -> usize {
+/// Returns the number of keys with this prefix at the state service.
+fn count_keys(world: &World, prefix: &str) -> usize {
     world.store.lock().expect("lock").count(prefix)
 }
 
 #[test]
-fn a_member_that_is_missing_holds_it_up_and_ends_while_lists_move_lose_nothing() {
+fn packs_wait_for_all_members_and_ends_during_the_move_lose_nothing() {
     let out = run(async {
         let world = World::start(3, 36, 6).await;
-        // It ends before it has recorded anything.
+        // Ends before it has recorded its abilities.
         world.end(2);
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(20), &mut Outcome::default()).await;
         world.begin();
-        let leader = world.leader().expect("somebody leads by now");
-        assert!(keys(&world, "m/") > 20 && keys(&world, "p/") == 0, "c-2 has recorded nothing");
+        let leader = world.leader().expect("no leader after 20 s");
+        assert!(
+            count_keys(&world, "m/") > 20 && count_keys(&world, "p/") == 0,
+            "expected no packs yet: c-2 has recorded no abilities"
+        );
         world.back(2);
-        // Four lists move with each beat of 100 ms: within them the leader ends, and its successor as well.
+        // Four machines move into packs with each tick of 100 ms. The leader ends during the move, and so does its successor.
         for _ in 0..40 {
             world.watch(Duration::from_millis(50), &mut out).await;
-            if keys(&world, "p/") > 0 {
+            if count_keys(&world, "p/") > 0 {
                 break;
             }
         }
-        assert!(keys(&world, "p/") > 0, "switched on");
-        for at in [leader, (leader + 1) % 3] {
+        assert!(count_keys(&world, "p/") > 0, "packs are not enabled");
+        for ix in [leader, (leader + 1) % 3] {
             world.watch(Duration::from_millis(150), &mut out).await;
-            world.end(at);
+            world.end(ix);
             world.watch(Duration::from_millis(300), &mut out).await;
-            world.back(at);
+            world.back(ix);
         }
-        // One without the state service meanwhile.
+        // One controller loses the state service meanwhile.
         both(&world.net, Host::Controller(2), Host::State, Some(Mode::Hold));
         world.watch(Duration::from_secs(20), &mut out).await;
         both(&world.net, Host::Controller(2), Host::State, None);
         world.watch(Duration::from_secs(5), &mut out).await;
-        assert_eq!(keys(&world, "m/"), 0, "all lists have moved");
+        assert_eq!(count_keys(&world, "m/"), 0, "machines left outside packs");
         assert!(
-            (36_usize.div_ceil(16)..=24).contains(&keys(&world, "p/")),
-            "{}",
-            keys(&world, "p/")
+            (36_usize.div_ceil(16)..=24).contains(&count_keys(&world, "p/")),
+            "{} packs",
+            count_keys(&world, "p/")
         );
         world.sum(&mut out);
         world.settle().await;
