--- a/crates/controller/tests/world/answers.rs
+++ b/crates/controller/tests/world/answers.rs
@@ -35,7 +35,7 @@
             let traps = [Trap { at: *at, times, act }];
             let name = format!("{at:?}, {act:?} {times} times, {controllers} controllers");
             let scene = Scene { controllers, traps: &traps, ..Scene::of(schedule) };
-            let out = scene.holds(&name, 20 + i as u64);
+            let out = scene.check(&name, 20 + i as u64);
             assert!(out.sprung > 0, "{name}: no trap sprang");
         }
     }
@@ -48,7 +48,7 @@
 
 #[test]
 fn answers_never_go_back_when_a_final_record_meets_a_fault() {
-    check_each_fault(&[Final]);
+    check_each_fault(&[FinalRecord]);
 }
 
 #[test]
@@ -58,7 +58,7 @@
 
 #[test]
 fn answers_never_go_back_when_records_of_assignments_or_finished_tasks_meet_a_fault() {
-    check_each_fault(&[List, Range]);
+    check_each_fault(&[Assignments, FinishedTasks]);
 }
 
 /// Guards against a job with two outcomes: a cancellation, a query and a repeated submission arrive while its final record
@@ -73,8 +73,8 @@
         ("answers lost", &lost_answers),
     ] {
         for controllers in [3, 5] {
-            let traps = [Trap { at: Final, times: u32::MAX, act: Meet }];
-            let out = Scene { controllers, traps: &traps, ..Scene::of(schedule) }.holds(name, 50);
+            let traps = [Trap { at: FinalRecord, times: u32::MAX, act: QueryEnding }];
+            let out = Scene { controllers, traps: &traps, ..Scene::of(schedule) }.check(name, 50);
             assert!(out.sprung > 10, "{name}: {out:?}");
         }
     }
@@ -121,7 +121,7 @@
     for (name, schedule) in &failures()[from..to] {
         for controllers in [3, 5] {
             let scene = Scene { controllers, ..Scene::of(schedule) };
-            let out = scene.holds(&format!("{name}, {controllers} controllers"), 40);
+            let out = scene.check(&format!("{name}, {controllers} controllers"), 40);
             assert!(out.looks.0 > 400 && out.bad > 10, "{name}: {out:?}");
         }
     }
--- a/crates/controller/tests/world/drawn.rs
+++ b/crates/controller/tests/world/drawn.rs
@@ -14,7 +14,7 @@
 
 /// The requests on which a random trap may be set.
 const MOMENTS: [Moment; 8] =
-    [Election, Reading, Acceptance, Cancellation, Final, List, Range, Rental];
+    [Election, JobsRead, Acceptance, Cancellation, FinalRecord, Assignments, FinishedTasks, Rental];
 
 fn pick<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
     choices[rng.random_range(0..choices.len())]
@@ -93,10 +93,16 @@
     };
     let machines = if habits.rentable > 0 { 6 } else { 18 };
     let controllers = pick(&mut rng, &[3, 3, 5]);
-    let scene =
-        Scene { controllers, machines, habits, schedule: &schedule, traps: &traps, least: 25 };
+    let scene = Scene {
+        controllers,
+        machines,
+        habits,
+        schedule: &schedule,
+        traps: &traps,
+        min_started: 25,
+    };
     let name = format!("seed {seed}");
-    let play_once = || scene.holds(&name, seed);
+    let play_once = || scene.check(&name, seed);
     if let Err(cause) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(play_once)) {
         eprintln!("seed {seed} violates a rule, {controllers} controllers, {machines} machines:");
         eprintln!("{schedule:?}\n{traps:?}");
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -176,11 +176,11 @@
         trapped(row("cancellations at an election", ends.clone()), &[(Election, 9, Cancel(6))]),
         trapped(
             row("cancellations while a new leader reads the records", ends.clone()),
-            &[(Reading, 9, Cancel(6))],
+            &[(JobsRead, 9, Cancel(6))],
         ),
         trapped(
             row("cancellations during a handover", worker_cuts.clone()),
-            &[(Election, 3, Cancel(6)), (Reading, 3, Cancel(6))],
+            &[(Election, 3, Cancel(6)), (JobsRead, 3, Cancel(6))],
         ),
         trapped(
             row("a cancellation is committed, and its writer ends before the answer", ends.clone()),
@@ -188,15 +188,15 @@
         ),
         trapped(
             row("the writer of a cancellation ends before it is committed", ends.clone()),
-            &[(Cancellation, 4, EndBefore(300)), (Reading, 4, Cancel(6))],
+            &[(Cancellation, 4, EndBefore(300)), (JobsRead, 4, Cancel(6))],
         ),
         trapped(
             row("new leaders end at their election, then as they read the records", ends.clone()),
-            &[(Election, 2, EndWriter(50)), (Reading, 2, EndBefore(300))],
+            &[(Election, 2, EndWriter(50)), (JobsRead, 2, EndBefore(300))],
         ),
         trapped(
             row("all controllers end at an election", ends),
-            &[(Election, 1, EndAll(300)), (Reading, 1, EndAll(50))],
+            &[(Election, 1, EndAll(300)), (JobsRead, 1, EndAll(50))],
         ),
     ]
 }
@@ -219,14 +219,14 @@
         ),
         trapped(
             row("the same, and the leader loses its peers", cancel_at_once(0)),
-            &[(Cancellation, 1, RefuseThenDown(45_000)), (List, 1, LosePeers(50_000))],
+            &[(Cancellation, 1, RefuseThenDown(45_000)), (Assignments, 1, LosePeers(50_000))],
         ),
         trapped(
             row(
                 "one controller refused between an assignment and a cancellation",
                 cancel_at_once(8_000),
             ),
-            &[(List, 1, LoseAndRefuse(30_000)), (Cancellation, 1, Refuse(30_000))],
+            &[(Assignments, 1, LoseAndRefuse(30_000)), (Cancellation, 1, Refuse(30_000))],
         ),
         trapped(
             row(
@@ -237,7 +237,7 @@
                     (0, 50_000, Nothing),
                 ],
             ),
-            &[(Cancellation, 1, LoseWorkers(20_000)), (Final, 1, LoseAndRefuse(20_000))],
+            &[(Cancellation, 1, LoseWorkers(20_000)), (FinalRecord, 1, LoseAndRefuse(20_000))],
         ),
     ]
 }
@@ -259,7 +259,7 @@
                 "a leader ends as it records a rental, or the assignments of a new machine",
                 vec![(0, 30_000, LostAnswers), (6_000, 6_001, End(300))],
             )),
-            &[(Rental, 2, EndWriter(300)), (List, 2, EndBefore(300))],
+            &[(Rental, 2, EndWriter(300)), (Assignments, 2, EndBefore(300))],
         ),
         few_machines(row(
             "the cloud's answers are lost, leaders end",
@@ -340,10 +340,10 @@
                 habits: row.habits,
                 schedule,
                 traps: &row.traps,
-                least: 60,
+                min_started: 60,
             };
             let name = format!("{}{variant}, {controllers} controllers", row.name);
-            let out = scene.holds(&name, 60 + i as u64);
+            let out = scene.check(&name, 60 + i as u64);
             assert!(out.sprung > 0 || row.traps.is_empty(), "{name}: no trap sprang");
             assert!(
                 out.rented.0 > 3 || row.habits.rentable == 0,
--- a/crates/controller/tests/world/scenes.rs
+++ b/crates/controller/tests/world/scenes.rs
@@ -24,7 +24,7 @@
     /// Faults injected at requests to the state service while the failures are played.
     pub traps: &'a [Trap],
     /// Tasks that have to be started for the scene to show anything.
-    pub least: usize,
+    pub min_started: usize,
 }
 
 /// Users that submit all kinds of jobs, query all controllers closely and send invalid jobs.
@@ -42,7 +42,14 @@
 impl<'a> Scene<'a> {
     /// Returns a scene with three controllers, 18 machines, `HABITS` and no traps.
     pub fn of(schedule: &'a [(u64, u64, Trouble)]) -> Scene<'a> {
-        Scene { controllers: 3, machines: 18, habits: HABITS, schedule, traps: &[], least: 60 }
+        Scene {
+            controllers: 3,
+            machines: 18,
+            habits: HABITS,
+            schedule,
+            traps: &[],
+            min_started: 60,
+        }
     }
 
     /// Plays the failures from 35 s after the start, with the traps set when they begin. Users submit no more jobs then, the
@@ -68,10 +75,10 @@
     }
 
     /// Plays the scene and checks what must hold after every one; the safety rules are checked while it runs.
-    pub fn holds(&self, name: &str, seed: u64) -> Outcome {
+    pub fn check(&self, name: &str, seed: u64) -> Outcome {
         let out = run(self.play(seed));
         assert!(
-            out.started > self.least && out.cancelled > self.least / 15,
+            out.started > self.min_started && out.cancelled > self.min_started / 15,
             "{name}: too few starts or cancellations to show a violation: {out:?}"
         );
         // Users count a job as forgotten after 75 s.
--- a/crates/controller/tests/world/steps.rs
+++ b/crates/controller/tests/world/steps.rs
@@ -16,17 +16,17 @@
     /// The term is raised and the leader key written.
     Election,
     /// A new leader reads the job records.
-    Reading,
+    JobsRead,
     /// The record of a job that is not cancelled is written.
     Acceptance,
     /// A job is recorded as cancelled.
     Cancellation,
     /// The final record of a job is written.
-    Final,
+    FinalRecord,
     /// The assignments of machines are written, one machine by itself or in a pack.
-    List,
+    Assignments,
     /// Finished tasks are written.
-    Range,
+    FinishedTasks,
     /// The rental of a machine is written.
     Rental,
     /// The abilities of a controller or the stages in use are written.
@@ -48,7 +48,7 @@
     /// the order below.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Option<Moment> {
         if method == "GET" {
-            return path.starts_with("/store?prefix=j/").then_some(Reading);
+            return path.starts_with("/store?prefix=j/").then_some(JobsRead);
         }
         if path != "/commit" {
             return None;
@@ -58,16 +58,16 @@
             puts.iter().any(|(key, value)| match moment {
                 Election => key == "c/term",
                 Stage => key == "c/stages" || key.starts_with("c/can/"),
-                Final => key.starts_with("f/"),
+                FinalRecord => key.starts_with("f/"),
                 Cancellation => key.starts_with("j/") && value["cancelled"] == true,
                 Acceptance => key.starts_with("j/") && value["cancelled"] != true,
                 Rental => key.starts_with("r/"),
-                List => key.starts_with("m/") || key.starts_with("p/"),
-                Range => key.starts_with("d/"),
-                Reading => false,
+                Assignments => key.starts_with("m/") || key.starts_with("p/"),
+                FinishedTasks => key.starts_with("d/"),
+                JobsRead => false,
             })
         };
-        [Election, Stage, Final, Cancellation, Acceptance, Rental, List, Range]
+        [Election, Stage, FinalRecord, Cancellation, Acceptance, Rental, Assignments, FinishedTasks]
             .into_iter()
             .find(|moment| is(*moment))
     }
@@ -101,7 +101,7 @@
     /// The kept copies of reports are delivered to every controller.
     Release,
     /// Users query, resubmit and cancel the jobs whose final records are being written, at all controllers.
-    Meet,
+    QueryEnding,
 }
 
 /// Applies a fault to the next `times` requests of one kind.
@@ -216,7 +216,7 @@
                 self.cancel_now(n, Duration::ZERO);
                 Fate::Answer
             }
-            Act::Meet => {
+            Act::QueryEnding => {
                 let ended = Moment::puts(body)
                     .into_iter()
                     .filter_map(|(key, _)| key.strip_prefix("f/").map(ToString::to_string));
@@ -224,7 +224,7 @@
                 Fate::Answer
             }
             Act::Release => {
-                self.release();
+                self.deliver_kept_reports();
                 Fate::Answer
             }
         }
@@ -245,7 +245,7 @@
     }
 
     /// Delivers all kept copies to every controller, now and three more times within 1.2 s.
-    pub fn release(self: &Arc<Self>) {
+    pub fn deliver_kept_reports(self: &Arc<Self>) {
         for (from, body) in std::mem::take(&mut *self.kept.lock().expect("lock")) {
             for (to, delay_ms) in
                 (0..self.count()).flat_map(|to| [0, 40, 300, 1_200].map(|delay_ms| (to, delay_ms)))
