--- a/crates/controller/tests/world/answers.rs
+++ b/crates/controller/tests/world/answers.rs
@@ -1,7 +1,7 @@
-//! Answers to users never go back: no controller's answer shows an older state than an answer that had arrived before its
-//! request was sent. Users query all controllers within milliseconds, repeat submissions and cancel at once, while
-//! answers of the state service are lost, one kind of transaction at a time or at random, and writers end before they get
-//! an answer.
+//! Answers to users never go back: no controller's answer shows an older state than an answer that had arrived before
+//! its request was sent. Users query all controllers within milliseconds, repeat submissions and cancel at once, while
+//! answers of the state service are lost, one kind of transaction at a time or at random, and writers end before they
+//! get an answer.
 
 use crate::network::Mode;
 use crate::scenes::{Scene, Schedule};
@@ -11,8 +11,8 @@
 use crate::steps::Trap;
 use crate::troubles::Trouble::*;
 
-/// The faults tried with each kind of transaction, and how often each is injected: the answer is lost, once or often; the
-/// answer is lost and the writer refused from then on; the writer ends before it gets the answer, or before the
+/// The faults tried with each kind of transaction, and how often each is injected: the answer is lost, once or often;
+/// the answer is lost and the writer refused from then on; the writer ends before it gets the answer, or before the
 /// transaction is carried out; the transaction is carried out seconds later.
 const ACTS: [(Act, u32); 7] = [
     (LoseAnswer, 1),
@@ -28,7 +28,8 @@
     for at in moments {
         for (i, (act, times)) in ACTS.into_iter().enumerate() {
             let controllers = if i % 2 == 0 { 3 } else { 5 };
-            // Elections need ends of leaders. One follower has no links to its peers, so that it has to read the records itself.
+            // Elections need ends of leaders. One follower has no links to its peers, so that it has to read the
+            // records itself.
             let peer_cut = (0, 20_000, Cut(1, Side::Peers, Mode::Hold));
             let ends = [(2_000, 2_001, End(300)), (14_000, 14_001, End(8_000)), peer_cut];
             let schedule: &[_] = if *at == Election { &ends } else { &[peer_cut] };
@@ -61,8 +62,8 @@
     check_each_fault(&[Assignments, FinishedTasks]);
 }
 
-/// Guards against a job with two outcomes: a cancellation, a query and a repeated submission arrive while its final record
-/// is being written.
+/// Guards against a job with two outcomes: a cancellation, a query and a repeated submission arrive while its final
+/// record is being written.
 #[test]
 fn job_cancelled_as_it_finishes_has_one_outcome() {
     let ends = [(8_000, 8_001, End(300)), (30_000, 30_001, End(8_000))];
--- a/crates/controller/tests/world/known.rs
+++ b/crates/controller/tests/world/known.rs
@@ -1,6 +1,6 @@
-//! Every accepted job stays known through failures: queries about each are answered within seconds once the failures are
-//! over. The failures are unresponsive machines that still report, late copies of reports, controllers that reach only
-//! their workers and users, and ends of leaders during these; one at a time and combined.
+//! Every accepted job stays known through failures: queries about each are answered within seconds once the failures
+//! are over. The failures are unresponsive machines that still report, late copies of reports, controllers that reach
+//! only their workers and users, and ends of leaders during these; one at a time and combined.
 
 use crate::network::Mode;
 use crate::troubles::Trouble::{self, *};
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -1,6 +1,7 @@
-//! Failures seen on real machines: machines that hang and resume, can't reach any controller, boot at once or are lost;
-//! old reports that arrive as a new leader takes over; teams at their limit; cancellations during a takeover. Each row
-//! runs with three and five controllers, with its schedule reversed, and with an end of the leader halfway through.
+//! Failures seen on real machines: machines that hang and resume, can't reach any controller, boot together or are
+//! lost; old reports that arrive as a new leader takes over; teams at their limit; cancellations during a takeover.
+//! Each row runs with three and five controllers, with its schedule reversed, and with an end of the leader halfway
+//! through.
 
 use crate::network::Mode;
 use crate::scenes::{HABITS, Scene, Schedule, reversed, with_an_end};
@@ -247,11 +248,11 @@
         |row: Row| Row { machines: 3, habits: Habits { rentable: 24, ..row.habits }, ..row };
     vec![
         few_machines(row(
-            "machines boot at once, slow state service, leaders end",
+            "rented machines boot together, slow state service, leaders end",
             vec![(0, 40_000, Slow(500)), (4_000, 4_001, End(300)), (16_000, 16_001, End(8_000))],
         )),
         few_machines(row(
-            "machines boot at once, late transactions, leaders end",
+            "rented machines boot together, late transactions, leaders end",
             vec![(0, 40_000, Late), (4_000, 4_001, End(300)), (16_000, 16_001, End(8_000))],
         )),
         trapped(
--- a/crates/controller/tests/world/meetings.rs
+++ b/crates/controller/tests/world/meetings.rs
@@ -1,5 +1,5 @@
-//! Two failures that overlap while users cancel jobs (`docs/safety.md`, "Meetings"). The safety rules are checked at the
-//! workers at every step and at the users on every answer, never by what the service reports about itself.
+//! Two failures that overlap while users cancel jobs (`docs/safety.md`, "Meetings"). The safety rules are checked at
+//! the workers at every step and at the users on every answer, never by what the service reports about itself.
 
 use crate::network::Mode;
 use crate::scenes::{Schedule, reversed, with_an_end};
@@ -53,8 +53,8 @@
 }
 
 /// The state service refuses only the old leader, a new one confirms cancellations, and from `down_ms` on no controller
-/// reaches the state service for longer than `cancel_s`. Workers keep reporting to the old leader, which may be isolated
-/// from its peers.
+/// reaches the state service for longer than `cancel_s`. Workers keep reporting to the old leader, which may be
+/// isolated from its peers.
 fn outage_after_isolation(isolation: &[Trouble], down_ms: u64) -> Schedule {
     let end = down_ms + 50_000;
     let old_leader = isolation.iter().map(|trouble| (0, end, *trouble));
@@ -71,13 +71,13 @@
         "state service held, peers held",
         &[Cut(0, Side::State, Mode::Hold), Cut(0, Side::Peers, Mode::Hold)],
     ),
-    ("state service refuses it, hears no peer", &[Refused(0), HearsNoPeer(0)]),
+    ("state service refuses it, receives nothing from peers", &[Refused(0), HearsNoPeer(0)]),
     (
-        "state service refuses it, peers held, workers hear only it",
+        "state service refuses it, peers held, workers receive from it alone",
         &[Refused(0), Cut(0, Side::Peers, Mode::Hold), OnlyHeard(0)],
     ),
     (
-        "state service held, hears no peer, workers hear only it",
+        "state service held, receives nothing from peers, workers receive from it alone",
         &[Cut(0, Side::State, Mode::Hold), HearsNoPeer(0), OnlyHeard(0)],
     ),
 ];
@@ -87,13 +87,17 @@
         let mut lingered = vec![];
         let mut longest = Duration::ZERO;
         for down_ms in downs_ms {
-            let schedule = outage_after_isolation(isolation, *down_ms);
-            let out = check_schedule(name, controllers, &schedule, seed);
+            let out = check_schedule(
+                name,
+                controllers,
+                &outage_after_isolation(isolation, *down_ms),
+                seed,
+            );
             lingered.push(format!("{:.1}", out.lingered.as_secs_f64()));
             longest = longest.max(out.lingered);
         }
-        // The failure has come about: tasks ran on after the confirmed cancellation for most of the old leader's renewal
-        // grace.
+        // The failure has come about: tasks ran on after the confirmed cancellation for most of the old leader's
+        // renewal grace.
         let only_heard = isolation.iter().any(|trouble| matches!(trouble, OnlyHeard(_)));
         assert!(!only_heard || longest > Duration::from_secs(20), "{name}: {longest:?}");
         println!(
@@ -112,8 +116,8 @@
 #[test]
 fn cancellations_confirmed_before_an_outage_with_five_controllers_and_a_third_leader() {
     check_outages(5, &[3_500, 6_000], 4);
-    // The controller that confirms loses the state service too, or ends; a third takes over and confirms; then the state
-    // service is down for all.
+    // The controller that confirms loses the state service too, or ends; a third takes over and confirms; then the
+    // state service is down for all.
     for second in [Refused(1), Cut(1, Side::State, Mode::Hold), EndOf(1, 60_000), EndOf(1, 300)] {
         for (name, isolation) in ISOLATIONS {
             let mut schedule = outage_after_isolation(isolation, 12_000);
--- a/crates/controller/tests/world/returns.rs
+++ b/crates/controller/tests/world/returns.rs
@@ -1,5 +1,6 @@
-//! Controller processes that end and restart: one, in turn, all at once, again during startup, with cut links besides.
-//! The leader key of a process that has ended delays the next election no longer than the process takes to restart.
+//! Controller processes that end and restart: one, in turn, all at once, again during startup, some with links cut
+//! meanwhile. The leader key of a process that has ended delays the next election no longer than the process takes to
+//! restart.
 
 use crate::network::{Host, Mode};
 use crate::{Outcome, World, both, run};
@@ -9,6 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// The controllers whose processes end.
 #[derive(Debug, Clone, Copy)]
 enum Target {
     Leader,
@@ -32,11 +34,11 @@
     /// Milliseconds until an ended process is back.
     back_ms: u64,
     follower_cut: FollowerCut,
-    /// Maximum total time without a leader.
+    /// Maximum total time without a leader, in milliseconds.
     leaderless_ms: u64,
-    /// Maximum time of a submission.
+    /// Maximum time of a submission, in seconds.
     submit_s: u64,
-    /// Time from the last end to the checks.
+    /// Time from the last end to the checks, in seconds.
     watch_s: u64,
 }
 
@@ -157,8 +159,8 @@
 }
 
 /// Guards against what an interrupted election leaves behind: a term raised without a leader, a leader key written by a
-/// process that has ended, records read in part, a send queue of an older term. All controllers end, and end again at each
-/// of these moments after they are back.
+/// process that has ended, records read in part, a send queue of an older term. All controllers end, and end again at
+/// each of these moments after they are back.
 #[test]
 fn end_during_an_election_costs_only_another_election() {
     for back_ms in [50, 300] {
@@ -186,8 +188,8 @@
 
 #[test]
 fn twin_process_and_a_leader_that_hangs_never_lead_together() {
-    // A twin is started by mistake with the leader's settings. It can't bind the port, so it has no proof that the first
-    // process has ended. Then the first process hangs for a minute and resumes.
+    // A twin is started by mistake with the leader's settings. It can't bind the port, so it has no proof that the
+    // first process has ended. Then the first process hangs for a minute and resumes.
     let out = run(async {
         let world = World::start(3, 36, 4).await;
         let mut out = Outcome::default();
--- a/crates/controller/tests/world/scenes.rs
+++ b/crates/controller/tests/world/scenes.rs
@@ -1,5 +1,5 @@
-//! A scene: a world with users, workers and controllers in which a schedule of failures is played and traps are set, and
-//! what must hold afterwards.
+//! A scene: a world with users, workers and controllers in which a schedule of failures is played and traps are set,
+//! and what must hold afterwards.
 
 use crate::steps::Trap;
 use crate::troubles::{Trouble, begin};
@@ -21,7 +21,7 @@
     pub habits: Habits,
     /// The failures to play.
     pub schedule: &'a [(u64, u64, Trouble)],
-    /// Faults injected at requests to the state service while the failures are played.
+    /// Faults injected at requests to the state service, from the first failure to 30 s after the last.
     pub traps: &'a [Trap],
     /// Tasks that have to be started for the scene to show anything.
     pub min_started: usize,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Plays the failures from 35 s after the start, with the traps set when they begin. Users submit no more jobs then, the
-    /// traps stay for another 30 s, and 100 s without failures follow.
+    /// Plays the failures from 35 s after the start, with the traps set when they begin. Once the failures are over,
+    /// users submit no more jobs, the traps stay for another 30 s, and then 100 s without any fault follow.
     async fn play(&self, seed: u64) -> Outcome {
         let world = World::with(self.controllers, self.machines, seed, self.habits).await;
         let mut out = Outcome::default();
--- a/crates/controller/tests/world/stages.rs
+++ b/crates/controller/tests/world/stages.rs
@@ -25,7 +25,8 @@
             "expected no packs yet: c-2 has recorded no abilities"
         );
         world.back(2);
-        // Four machines move into packs with each tick of 100 ms. The leader ends during the move, and so does its successor.
+        // Four machines move into packs with each tick of 100 ms. The leader ends during the move, and so does its
+        // successor.
         for _ in 0..40 {
             world.watch(Duration::from_millis(50), &mut out).await;
             if count_keys(&world, "p/") > 0 {
--- a/crates/controller/tests/world/steps.rs
+++ b/crates/controller/tests/world/steps.rs
@@ -44,8 +44,8 @@
         apply.filter_map(put).collect()
     }
 
-    /// Returns the kind of a request, if it has one. A transaction that puts several kinds of records counts as the first of
-    /// the order below.
+    /// Returns the kind of a request, if it has one. A transaction that puts several kinds of records counts as the
+    /// first of the order below.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Option<Moment> {
         if method == "GET" {
             return path.starts_with("/store?prefix=j/").then_some(JobsRead);
@@ -82,7 +82,8 @@
     Delay(u64),
     /// The state service refuses the request and all others of this controller, for this time.
     Refuse(u64),
-    /// The request is carried out, its answer is lost, and all later requests of this controller are refused for this time.
+    /// The request is carried out, its answer is lost, and all later requests of this controller are refused for this
+    /// time.
     LoseAndRefuse(u64),
     /// As `LoseAndRefuse`, and a second later the state service goes down for all; both end after this time.
     RefuseThenDown(u64),
@@ -155,8 +156,8 @@
 }
 
 impl World {
-    /// Springs the trap that is set for this request of a controller, if there is one. Returns how the state service handles
-    /// the request.
+    /// Springs the trap that is set for this request of a controller, if there is one. Returns how the state service
+    /// handles the request.
     pub fn at_store(
         self: &Arc<Self>,
         controller: usize,
