--- a/crates/reach/src/connectivity.rs
+++ b/crates/reach/src/connectivity.rs
@@ -1,49 +1,56 @@
-//! What one controller reaches, and what is known of all: first hand, or told by others, each with its age.
+//! Connectivity of this controller, measured locally, and of its peers, as reported, with its age.
 
 use crate::Member;
 use crate::link::{Link, Reachability};
 use std::collections::BTreeMap;
 
-/// What one controller reaches.
+/// The services, workers and controllers that one controller reaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Connectivity {
+    /// Reachability of the state service.
     pub state_service: Reachability,
-    /// Workers, directly: of the zones whose workers were asked or heard, the part that answers,
-    /// in hundredths; none: nobody was asked and nobody heard.
+    /// Percentage of zones whose workers are reached directly, among the zones whose reachability is
+    /// known. `None` if no zone's reachability is known.
     pub workers_percent: Option<u8>,
+    /// Reachability of the cloud service.
     pub cloud: Reachability,
-    /// The other controllers that it hears, a bit each in order of names.
+    /// Controllers that this one hears: bit N stands for `Member(N)`.
     pub peer_mask: u16,
 }
 
 impl Connectivity {
+    /// Returns whether the controller hears `member`; false for members past the 16 bits of the mask.
     pub fn can_hear(&self, member: Member) -> bool {
         member.0 < 16 && self.peer_mask & (1 << member.0) != 0
     }
 
-    /// All that a leader needs, by itself.
+    /// Returns whether the controller directly reaches all that a leader needs: the state service and
+    /// the workers of at least half of the zones.
     pub fn is_fit_to_lead(&self) -> bool {
         self.state_service >= Reachability::Slow
             && self.workers_percent.is_some_and(|w| w >= HALF_OF_ZONES_PERCENT)
     }
 }
 
-/// Half of the zones.
+/// Percentage of zones whose workers a controller must reach directly to count as fit to lead.
 pub const HALF_OF_ZONES_PERCENT: u8 = 50;
 
-/// Facts that are older than this are none any more.
+/// Age in milliseconds from which connectivity data is discarded.
 pub const CONNECTIVITY_TTL_MS: u64 = 4_000;
 
-/// How long an answer of the state service, of a zone's workers and of the cloud says that they can be
-/// reached.
-const STATE_MS: u64 = 4_000;
-const ZONE_MS: u64 = 6_000;
-const CLOUD_MS: u64 = 30_000;
+/// How long an answer of the state service proves that it can be reached.
+const STATE_SERVICE_TTL_MS: u64 = 4_000;
+/// How long an answer of a zone's workers proves that they can be reached.
+const ZONE_TTL_MS: u64 = 6_000;
+/// How long an answer of the cloud proves that it can be reached.
+const CLOUD_TTL_MS: u64 = 30_000;
 
-/// What this controller has measured itself.
+/// Links of this controller, from its own measurements.
 #[derive(Debug)]
 pub struct LocalConnectivity {
+    /// Link to the state service.
     pub state_service: Link,
+    /// Link to the cloud service.
     pub cloud: Link,
     zones: BTreeMap<u32, Link>,
 }
@@ -51,33 +58,40 @@
 impl Default for LocalConnectivity {
     fn default() -> Self {
         LocalConnectivity {
-            state_service: Link::new(STATE_MS),
-            cloud: Link::new(CLOUD_MS),
+            state_service: Link::new(STATE_SERVICE_TTL_MS),
+            cloud: Link::new(CLOUD_TTL_MS),
             zones: BTreeMap::new(),
         }
     }
 }
 
 impl LocalConnectivity {
+    /// Returns the link to the workers of a zone, creating it if there is none.
     pub fn zone_link_mut(&mut self, zone: u32) -> &mut Link {
-        self.zones.entry(zone).or_insert_with(|| Link::new(ZONE_MS))
+        self.zones.entry(zone).or_insert_with(|| Link::new(ZONE_TTL_MS))
     }
 
+    /// Returns the links to the workers of all zones, in order of zone numbers.
     pub fn zones(&self) -> impl Iterator<Item = (u32, &Link)> {
         self.zones.iter().map(|(z, l)| (*z, l))
     }
 
-    /// Zones without workers are none that can be reached, or not.
+    /// Drops the links of the zones that `keep` rejects: a zone without workers is neither reachable nor
+    /// unreachable.
     pub fn retain_zones(&mut self, keep: impl Fn(u32) -> bool) {
         self.zones.retain(|zone, _| keep(*zone));
     }
 
-    /// Does any zone's silence have to be looked into? True where none was heard or asked lately.
-    pub fn is_silent(&self, now: u64, ms: u64) -> bool {
-        !self.zones.values().any(|l| l.last_answered_sent_at().is_some_and(|at| now < at + ms))
+    /// Returns whether no zone has answered a request that was sent within the last `window_ms`.
+    pub fn is_silent(&self, now: u64, window_ms: u64) -> bool {
+        !self
+            .zones
+            .values()
+            .any(|l| l.last_answered_sent_at().is_some_and(|at| now < at + window_ms))
     }
 
-    pub fn connectivity(&self, peers: u16, now: u64) -> Connectivity {
+    /// Returns the connectivity at `now`, with `peer_mask` as the mask of the peers that are heard.
+    pub fn connectivity(&self, peer_mask: u16, now: u64) -> Connectivity {
         let known: Vec<Reachability> = self
             .zones
             .values()
@@ -85,41 +99,43 @@
             .filter(|r| *r != Reachability::Unknown)
             .collect();
         let up = known.iter().filter(|r| **r != Reachability::Down).count();
-        let workers = (!known.is_empty()).then(|| (up * 100 / known.len()) as u8);
+        let workers_percent = (!known.is_empty()).then(|| (up * 100 / known.len()) as u8);
         Connectivity {
             state_service: self.state_service.reachability(now),
-            workers_percent: workers,
+            workers_percent,
             cloud: self.cloud.reachability(now),
-            peer_mask: peers,
+            peer_mask,
         }
     }
 }
 
-/// What is known of the other controllers.
+/// Latest connectivity of the other controllers, as they reported it.
 #[derive(Debug, Default)]
 pub struct PeerConnectivity {
-    /// Facts, and as of when.
-    of: BTreeMap<Member, (Connectivity, u64)>,
+    /// Connectivity of each member and the time at which it held.
+    by_member: BTreeMap<Member, (Connectivity, u64)>,
 }
 
 impl PeerConnectivity {
-    /// Somebody told what a member reached `age_ms` ago. What is older than what is known is left.
-    pub fn update(&mut self, member: Member, facts: Connectivity, age_ms: u64, now: u64) {
+    /// Stores the connectivity that `member` had `age_ms` ago, unless the known data is at least as
+    /// new.
+    pub fn update(&mut self, member: Member, connectivity: Connectivity, age_ms: u64, now: u64) {
         let at = now.saturating_sub(age_ms);
-        if self.of.get(&member).is_none_or(|(_, known)| at > *known) {
-            self.of.insert(member, (facts, at));
+        if self.by_member.get(&member).is_none_or(|(_, known_at)| at > *known_at) {
+            self.by_member.insert(member, (connectivity, at));
         }
     }
 
-    /// What is known of a member, unless it is too old.
+    /// Returns the connectivity of `member`, or `None` if it is unknown or expired.
     pub fn get(&self, member: Member, now: u64) -> Option<Connectivity> {
-        let (facts, at) = self.of.get(&member)?;
-        (now < at + CONNECTIVITY_TTL_MS).then_some(*facts)
+        let (connectivity, at) = self.by_member.get(&member)?;
+        (now < at + CONNECTIVITY_TTL_MS).then_some(*connectivity)
     }
 
-    /// All that is fresh, with its age.
+    /// Returns all connectivity data that has not expired, with its age in milliseconds.
     pub fn unexpired(&self, now: u64) -> impl Iterator<Item = (Member, Connectivity, u64)> {
-        let fresh = self.of.iter().filter(move |(_, (_, at))| now < at + CONNECTIVITY_TTL_MS);
-        fresh.map(move |(m, (facts, at))| (*m, *facts, now.saturating_sub(*at)))
+        let unexpired =
+            self.by_member.iter().filter(move |(_, (_, at))| now < at + CONNECTIVITY_TTL_MS);
+        unexpired.map(move |(m, (connectivity, at))| (*m, *connectivity, now.saturating_sub(*at)))
     }
 }
--- a/crates/reach/src/fitness.rs
+++ b/crates/reach/src/fitness.rs
@@ -1,56 +1,60 @@
-//! How fit a controller is to lead: the same for all that know the same. It decides who stands first, never
-//! who leads.
+//! Fitness of a controller to lead, the same on all controllers that have the same data.
+//!
+//! It influences which controller campaigns first, and never decides who leads.
 
 use crate::Member;
 use crate::connectivity::{Connectivity, HALF_OF_ZONES_PERCENT};
 use crate::link::Reachability;
 use std::cmp::Reverse;
 
-/// The greater, the fitter: by what it reaches, in this order; then whoever leads already, then by name.
+/// Order of controllers, the greatest being the fittest: by connectivity in the order of the fields, then
+/// the current leader, then the member that comes first by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fitness {
-    /// The state service: not, not known, slow, well. Without it nobody leads.
-    state: Reachability,
-    /// Workers directly: none that was asked, not known, some, half of the zones or more.
-    direct: u8,
-    /// Workers over a peer that reaches them: no, not known, yes.
-    relayed: u8,
+    /// Reachability of the state service, without which no controller can lead.
+    state_service: Reachability,
+    /// Workers reached directly: 0 none, 1 unknown, 2 some, 3 in at least half of the zones.
+    direct_workers: u8,
+    /// Workers reached through a peer: 0 no, 1 unknown, 2 yes.
+    relayed_workers: u8,
     cloud: Reachability,
     leads: bool,
-    name: Reverse<Member>,
+    member: Reverse<Member>,
 }
 
 impl Fitness {
-    /// Fit in what it reaches, leaving aside who leads and names.
+    /// Returns the parts for the state service and the workers, without the cloud, leadership and names.
     pub fn reachability(&self) -> (Reachability, u8, u8) {
-        (self.state, self.direct, self.relayed)
+        (self.state_service, self.direct_workers, self.relayed_workers)
     }
 }
 
-/// How fit a member is. `of`: the facts of others, as far as they are known and fresh.
+/// Computes the fitness of `member` from its connectivity; `connectivity_of` returns the unexpired
+/// connectivity of other members.
 pub fn fitness(
     member: Member,
-    own: &Connectivity,
+    connectivity: &Connectivity,
     leads: bool,
-    of: impl Fn(Member) -> Option<Connectivity>,
+    connectivity_of: impl Fn(Member) -> Option<Connectivity>,
 ) -> Fitness {
-    let direct = match own.workers_percent {
+    let direct_workers = match connectivity.workers_percent {
         Some(0) => 0,
         None => 1,
         Some(w) if w < HALF_OF_ZONES_PERCENT => 2,
         Some(_) => 3,
     };
-    let peers = (0..16).map(Member).filter(|m| *m != member && own.can_hear(*m));
-    let over = |m: Member| {
-        of(m).map_or(1, |f| if f.workers_percent.is_some_and(|w| w > 0) { 2 } else { 0 })
+    let peers = (0..16).map(Member).filter(|m| *m != member && connectivity.can_hear(*m));
+    let relay_level = |m: Member| {
+        connectivity_of(m)
+            .map_or(1, |f| if f.workers_percent.is_some_and(|w| w > 0) { 2 } else { 0 })
     };
-    let relayed = peers.map(over).max().unwrap_or(0);
+    let relayed_workers = peers.map(relay_level).max().unwrap_or(0);
     Fitness {
-        state: own.state_service,
-        direct,
-        relayed,
-        cloud: own.cloud,
+        state_service: connectivity.state_service,
+        direct_workers,
+        relayed_workers,
+        cloud: connectivity.cloud,
         leads,
-        name: Reverse(member),
+        member: Reverse(member),
     }
 }
--- a/crates/reach/src/lib.rs
+++ b/crates/reach/src/lib.rs
@@ -1,13 +1,21 @@
-//! What each controller reaches, and what follows for leadership.
+//! Connectivity of each controller and its effect on leadership.
 //!
-//! Decisions and state alone: no socket, no clock. `link` keeps how one counterpart answered; `facts` is what
-//! one controller reaches, its own or told by others, with its age; `told` is how that travels in frames;
-//! `fitness` orders controllers by it, alike for all that know the same; `standing` says who stands first,
-//! how long the others wait, who gives way and who hands over; `returns` what a process that is back at once
-//! makes of the key of its predecessor. Safety leans on nothing else here: the term and the lease decide who
-//! leads, and the proof in `returns` when a lease need not be waited for (docs/safety.md, docs/reach.md).
+//! This crate holds decisions and state only; it opens no sockets and reads no clock.
 //!
-//! Times are milliseconds on the caller's steady clock; successes count from when the request was sent.
+//! - [`link`]: request results and latency of one link.
+//! - [`connectivity`]: what a controller reaches, measured locally or reported by peers, with its age.
+//! - [`codec`]: encoding of connectivity in the frames between controllers.
+//! - [`fitness`]: order of controllers by connectivity, the same on all that have the same data.
+//! - [`candidacy`]: delay before an election attempt, stepping down and handing over leadership.
+//! - [`restart`]: what a restarted process does with the leader key of its predecessor.
+//!
+//! The term and the lease decide who leads. Safety depends on nothing in this crate except the proof
+//! in [`restart`] that a lease need not be waited for (docs/safety.md, docs/reach.md).
+//!
+//! Times are milliseconds on the caller's monotonic clock. A success counts from the time at which
+//! its request was sent.
+
+#![warn(missing_docs)]
 
 pub mod candidacy;
 pub mod codec;
@@ -16,6 +24,6 @@
 pub mod link;
 pub mod restart;
 
-/// A controller, by its place in the order of all members' names.
+/// A controller, identified by its index in the sorted list of all members' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member(pub usize);
--- a/crates/reach/src/link.rs
+++ b/crates/reach/src/link.rs
@@ -1,86 +1,90 @@
-//! How one counterpart answered: measured, not guessed.
+//! Reachability and latency of one link, measured from the requests sent over it.
 
 use hdrhistogram::Histogram;
 
-/// Can it be reached?
+/// Reachability of the other end of a link, from worst to best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Reachability {
-    /// Asked in vain: more than once, or once and long since it last answered.
+    /// Several requests in a row failed, or one failed and the last answer is too old.
     Down,
-    /// Nobody asked, or not lately. Silence proves nothing.
+    /// There is neither a recent answer nor a failure since the last one; silence proves nothing.
     #[default]
     Unknown,
     /// It answers, but so late that work suffers.
     Slow,
+    /// It answers in time.
     Up,
 }
 
-/// An answer that takes longer than this makes a counterpart slow, if the ones before did too.
-const SLOW_MS: f64 = 1_000.0;
+/// Mean latency above which a link counts as slow.
+const SLOW_MEAN_MS: f64 = 1_000.0;
 
-/// How much the last answer counts in the mean that tells slow ones.
-const LAST: f64 = 0.3;
+/// Weight of the latest answer in the moving mean of the latency.
+const MEAN_WEIGHT: f64 = 0.3;
 
-/// So many failures in a row make a counterpart that answered lately unreachable.
-const FAILURES: u32 = 2;
+/// Number of consecutive failures after which a link is down although an answer is still recent.
+const MAX_FAILURES: u32 = 2;
 
-/// One counterpart.
+/// Request results of one link.
 #[derive(Debug)]
 pub struct Link {
-    /// When the last request that was answered was sent.
-    answered: Option<u64>,
-    /// Failures since, and when the last of them was sent.
+    /// Send time of the latest request that was answered.
+    last_answered_sent_at: Option<u64>,
+    /// Failed requests that were sent after `last_answered_sent_at`.
     failures: u32,
+    /// Moving mean of the latency.
     mean_ms: f64,
-    /// Milliseconds that answers took, for the metrics.
-    took: Histogram<u32>,
-    /// An answer says as much for this long.
-    lasts_ms: u64,
+    /// Latencies of all answers, for the metrics.
+    latencies_ms: Histogram<u32>,
+    /// How long an answer proves that the other end can be reached.
+    answer_ttl_ms: u64,
 }
 
 impl Link {
-    pub fn new(lasts_ms: u64) -> Link {
-        let took = Histogram::new_with_max(60_000, 2).expect("valid bounds");
-        Link { answered: None, failures: 0, mean_ms: 0.0, took, lasts_ms }
+    /// Creates a link without requests, on which an answer is valid for `answer_ttl_ms`.
+    pub fn new(answer_ttl_ms: u64) -> Link {
+        let latencies_ms = Histogram::new_with_max(60_000, 2).expect("valid bounds");
+        Link { last_answered_sent_at: None, failures: 0, mean_ms: 0.0, latencies_ms, answer_ttl_ms }
     }
 
-    /// A request sent at `sent` was answered by `now`. An answer to an older request than one that
-    /// was answered already says nothing new.
-    pub fn record_answer(&mut self, sent: u64, now: u64) {
-        let took = now.saturating_sub(sent);
-        self.took.saturating_record(took.max(1));
-        self.mean_ms += LAST * (took as f64 - self.mean_ms);
-        if self.answered.is_none_or(|at| sent >= at) {
-            self.answered = Some(sent);
+    /// Records that the request sent at `sent_at` was answered at `now`. If a later request was already
+    /// answered, this affects only the latency.
+    pub fn record_answer(&mut self, sent_at: u64, now: u64) {
+        let latency_ms = now.saturating_sub(sent_at);
+        self.latencies_ms.saturating_record(latency_ms.max(1));
+        self.mean_ms += MEAN_WEIGHT * (latency_ms as f64 - self.mean_ms);
+        if self.last_answered_sent_at.is_none_or(|at| sent_at >= at) {
+            self.last_answered_sent_at = Some(sent_at);
             self.failures = 0;
         }
     }
 
-    /// A request sent at `sent` failed, or was not answered in time. One that was sent before the
-    /// last that was answered says nothing.
-    pub fn record_failure(&mut self, sent: u64) {
-        if self.answered.is_none_or(|at| sent > at) {
+    /// Records that the request sent at `sent_at` failed or timed out. A request that is not newer than
+    /// the latest answered one is ignored.
+    pub fn record_failure(&mut self, sent_at: u64) {
+        if self.last_answered_sent_at.is_none_or(|at| sent_at > at) {
             self.failures = self.failures.saturating_add(1);
         }
     }
 
+    /// Returns the reachability at `now`.
     pub fn reachability(&self, now: u64) -> Reachability {
-        let fresh = self.answered.is_some_and(|at| now < at + self.lasts_ms);
+        let recent = self.last_answered_sent_at.is_some_and(|at| now < at + self.answer_ttl_ms);
         match self.failures {
-            n if n >= FAILURES || (n > 0 && !fresh) => Reachability::Down,
-            _ if !fresh => Reachability::Unknown,
-            _ if self.mean_ms > SLOW_MS => Reachability::Slow,
+            n if n >= MAX_FAILURES || (n > 0 && !recent) => Reachability::Down,
+            _ if !recent => Reachability::Unknown,
+            _ if self.mean_ms > SLOW_MEAN_MS => Reachability::Slow,
             _ => Reachability::Up,
         }
     }
 
-    /// When the last request that was answered was sent.
+    /// Returns the send time of the latest request that was answered.
     pub fn last_answered_sent_at(&self) -> Option<u64> {
-        self.answered
+        self.last_answered_sent_at
     }
 
-    /// Milliseconds that this part of all answers took at most; none: there was no answer.
+    /// Returns the `q` quantile (0 to 1) of the latency in milliseconds, or `None` without an answer.
     pub fn latency_quantile_ms(&self, q: f64) -> Option<u64> {
-        (!self.took.is_empty()).then(|| self.took.value_at_quantile(q))
+        (!self.latencies_ms.is_empty()).then(|| self.latencies_ms.value_at_quantile(q))
     }
 }
--- a/crates/reach/src/restart.rs
+++ b/crates/reach/src/restart.rs
@@ -1,117 +1,142 @@
-//! A process that was started again and finds the leader's key under its own name.
+//! Decision of a restarted process that finds the leader key under its own member name.
 //!
-//! Its predecessor's lease would keep everybody from leading until it runs out, though nobody leads. Whether
-//! the predecessor has ended is proven, not guessed: the record tells on which address that process listened
-//! for its peers (`seat`), and a process listens there from its start to its end. Whoever listens on the same
-//! address now has therefore outlived it; one that only hangs still has the address, and its successor can't
-//! start. What can't be proven is waited for, as ever.
+//! The lease of its predecessor would keep every controller from leading until it expires, although
+//! nobody leads. The end of the predecessor is proven rather than assumed: the leader's record holds
+//! the address on which that process listened for its peers, and a process listens there from its
+//! start to its end. A process that listens on the same address now has therefore outlived it. A
+//! process that merely hangs still holds the address, so that its successor can't start. Without
+//! this proof the lease is waited for.
 
 use std::net::{IpAddr, SocketAddr};
 
-/// A member that ended as leader, led again at once, and ended again within this time is left behind.
-pub const LATELY_MS: u64 = 30_000;
+/// A member whose process ended as leader, led again at once, and ended again within this time gives
+/// the key up, so that others campaign first.
+pub const REPEATED_END_WINDOW_MS: u64 = 30_000;
 
-/// So long such a member leaves the others the first try.
+/// Election backoff of such a member.
 pub const RESTART_BACKOFF_MS: u64 = 1_500;
 
-/// What the leader's record tells.
+/// Contents of the leader's record.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderKey<'a> {
+    /// Name of the member that holds the key.
     pub member: &'a str,
-    /// The address on which the process listened that took the key; none: it did not tell.
+    /// Address on which the process that took the key listened for its peers; `None` if the record
+    /// doesn't say.
     pub listen_addr: Option<&'a str>,
-    /// When it was elected (time of day, milliseconds), and how often in a row its member had been elected
-    /// right after an end.
+    /// Wall-clock time of the election, in milliseconds.
     pub elected_at_ms: u64,
+    /// Number of times in a row that the member had been elected right after its process ended.
     pub restarts: u64,
 }
 
-/// What to make of the leader's key.
+/// What to do with the leader key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyDecision {
-    /// Somebody else's, or nobody can tell: its lease decides.
+    /// Another process holds the key, or it can't be proven that its holder has ended: wait for the lease.
     HeldByOther,
-    /// This process's predecessor had it and has ended: stand at once in its place, with this count of returns.
-    TakeOver { restarts: u64 },
-    /// The same, but others had better lead: give the key up for it.
+    /// This process's predecessor held the key and has ended: campaign at once in its place.
+    TakeOver {
+        /// Number of restarts to record with the key.
+        restarts: u64,
+    },
+    /// The predecessor held the key and has ended, but others should lead: give the key up.
     Release,
 }
 
-/// Is this an address that one process of all can listen on? A wildcard is listened on by each host for itself.
-fn sole(seat: &str) -> bool {
-    seat.parse::<SocketAddr>().is_ok_and(|a| match a.ip() {
+/// Returns whether only one process anywhere can listen on this address. A wildcard address can be in
+/// use on every host at once.
+fn is_exclusive_addr(listen_addr: &str) -> bool {
+    listen_addr.parse::<SocketAddr>().is_ok_and(|a| match a.ip() {
         IpAddr::V4(ip) => !ip.is_unspecified(),
         IpAddr::V6(ip) => !ip.is_unspecified(),
     })
 }
 
-/// For a process that does not lead: `member` is its name, `seat` the address on which it listens, none before
-/// it does; `first`: it has not seen the key since its start; `now` is the time of day in milliseconds. Only
-/// politeness rests on the time of day, no rule.
+/// Decides what a process that doesn't lead does with the leader key.
+///
+/// `member` is the name of the process's member and `listen_addr` the address on which it listens, `None`
+/// before it does. `first_seen` is whether it sees the key for the first time since its start. `now` is
+/// the wall-clock time in milliseconds; it affects only who campaigns first, and no safety rule.
 pub fn decide(
-    held: LeaderKey,
+    key: LeaderKey,
     member: &str,
-    seat: Option<&str>,
-    first: bool,
+    listen_addr: Option<&str>,
+    first_seen: bool,
     now: u64,
 ) -> KeyDecision {
-    let proven = held.member == member && held.listen_addr.is_some() && held.listen_addr == seat;
-    if !proven || !seat.is_some_and(sole) {
+    let proven =
+        key.member == member && key.listen_addr.is_some() && key.listen_addr == listen_addr;
+    if !proven || !listen_addr.is_some_and(is_exclusive_addr) {
         return KeyDecision::HeldByOther;
     }
-    let again = held.restarts > 0 && now.abs_diff(held.elected_at_ms) < LATELY_MS;
-    if !first || again {
+    let ended_again = key.restarts > 0 && now.abs_diff(key.elected_at_ms) < REPEATED_END_WINDOW_MS;
+    if !first_seen || ended_again {
         return KeyDecision::Release;
     }
-    let returns = if now.abs_diff(held.elected_at_ms) < LATELY_MS {
-        held.restarts.saturating_add(1)
+    let restarts = if now.abs_diff(key.elected_at_ms) < REPEATED_END_WINDOW_MS {
+        key.restarts.saturating_add(1)
     } else {
         1
     };
-    KeyDecision::TakeOver { restarts: returns }
+    KeyDecision::TakeOver { restarts }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const SEAT: &str = "10.0.0.1:8081";
+    const LISTEN_ADDR: &str = "10.0.0.1:8081";
 
-    fn held(seat: Option<&str>, at: u64, returns: u64) -> LeaderKey<'_> {
-        LeaderKey { member: "c-1", listen_addr: seat, elected_at_ms: at, restarts: returns }
+    fn key(listen_addr: Option<&str>, elected_at_ms: u64, restarts: u64) -> LeaderKey<'_> {
+        LeaderKey { member: "c-1", listen_addr, elected_at_ms, restarts }
     }
 
     #[test]
-    fn what_is_not_proven_is_waited_for() {
+    fn lease_is_waited_for_without_proof_that_the_holder_ended() {
         let now = 1_000_000;
-        let other = LeaderKey { member: "c-2", ..held(Some(SEAT), now, 0) };
-        let none = |h, seat| decide(h, "c-1", seat, true, now);
-        for (what, h, seat) in [
-            ("another member", other, Some(SEAT)),
-            ("the version before tells no seat", held(None, now, 0), Some(SEAT)),
-            ("it does not listen yet", held(Some(SEAT), now, 0), None),
-            ("neither is known", held(None, now, 0), None),
-            ("the same name elsewhere", held(Some("10.0.0.2:8081"), now, 0), Some(SEAT)),
-            ("a wildcard", held(Some("0.0.0.0:8081"), now, 0), Some("0.0.0.0:8081")),
-            ("a wildcard", held(Some("[::]:8081"), now, 0), Some("[::]:8081")),
-            ("no address", held(Some("here"), now, 0), Some("here")),
+        let other = LeaderKey { member: "c-2", ..key(Some(LISTEN_ADDR), now, 0) };
+        let decision = |h, listen_addr| decide(h, "c-1", listen_addr, true, now);
+        for (case, h, listen_addr) in [
+            ("another member", other, Some(LISTEN_ADDR)),
+            ("the previous release records no address", key(None, now, 0), Some(LISTEN_ADDR)),
+            ("it does not listen yet", key(Some(LISTEN_ADDR), now, 0), None),
+            ("neither is known", key(None, now, 0), None),
+            ("the same name elsewhere", key(Some("10.0.0.2:8081"), now, 0), Some(LISTEN_ADDR)),
+            ("a wildcard", key(Some("0.0.0.0:8081"), now, 0), Some("0.0.0.0:8081")),
+            ("a wildcard", key(Some("[::]:8081"), now, 0), Some("[::]:8081")),
+            ("no address", key(Some("here"), now, 0), Some("here")),
         ] {
-            assert_eq!(none(h, seat), KeyDecision::HeldByOther, "{what}");
+            assert_eq!(decision(h, listen_addr), KeyDecision::HeldByOther, "{case}");
         }
     }
 
     #[test]
-    fn who_ends_again_and_again_is_left_behind() {
+    fn key_is_released_after_repeated_ends_as_leader() {
         let now = 1_000_000;
-        let row = |at, returns, first| {
-            decide(held(Some(SEAT), at, returns), "c-1", Some(SEAT), first, now)
+        let decision = |elected_at_ms, restarts, first_seen| {
+            decide(
+                key(Some(LISTEN_ADDR), elected_at_ms, restarts),
+                "c-1",
+                Some(LISTEN_ADDR),
+                first_seen,
+                now,
+            )
         };
-        assert_eq!(row(now - 300_000, 0, true), KeyDecision::TakeOver { restarts: 1 });
-        assert_eq!(row(now - 2_000, 0, true), KeyDecision::TakeOver { restarts: 1 });
-        assert_eq!(row(now - 2_000, 1, true), KeyDecision::Release, "twice within half a minute");
-        assert_eq!(row(now + 2_000, 1, true), KeyDecision::Release, "clocks differ");
-        assert_eq!(row(now - 300_000, 1, true), KeyDecision::TakeOver { restarts: 1 }, "long ago");
-        // A late transaction of its predecessor, or of its own that it had given up.
-        assert_eq!(row(now - 2_000, 0, false), KeyDecision::Release);
+        assert_eq!(decision(now - 300_000, 0, true), KeyDecision::TakeOver { restarts: 1 });
+        assert_eq!(decision(now - 2_000, 0, true), KeyDecision::TakeOver { restarts: 1 });
+        assert_eq!(
+            decision(now - 2_000, 1, true),
+            KeyDecision::Release,
+            "twice within half a minute"
+        );
+        assert_eq!(decision(now + 2_000, 1, true), KeyDecision::Release, "clocks differ");
+        assert_eq!(
+            decision(now - 300_000, 1, true),
+            KeyDecision::TakeOver { restarts: 1 },
+            "long ago"
+        );
+        // The key was written late: by the predecessor, or by a transaction that this process gave up.
+        assert_eq!(decision(now - 2_000, 0, false), KeyDecision::Release);
     }
 }
