--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,21 +1,29 @@
-//! A start from records and reports: after one controller has ended, or all of them.
+//! Takeover from records and worker reports, after one controller or all of them have ended.
 //!
-//! Decisions and state alone: no socket, no clock. `phase` says how far a takeover is, zone by zone, and by when
-//! each phase is over whatever happens; `square` names every difference that there can be between what is on
-//! record and what a worker reports, what it proves and what follows, and counts them; `lane` paces the orders
-//! that are sent straight to workers, so that a start is no storm. No rule rests on any of it: what may start is
-//! decided by proof of absence as ever (docs/safety.md), and all that is sent here is repeated with reports.
+//! This crate holds decisions and state only; it opens no sockets and reads no clock.
 //!
-//! Times are milliseconds on the caller's steady clock.
+//! - [`phase`]: progress of a takeover, zone by zone, and the time by which each phase ends in any case.
+//! - [`reconcile`]: every possible difference between a record and a worker's report, what it proves and
+//!   what is done about it, with counts.
+//! - [`send_queue`]: rate limit of the orders sent directly to workers, so that a takeover causes no burst
+//!   of requests.
+//!
+//! No safety rule depends on this crate. Whether a task may start is still decided by proof that it is
+//! absent elsewhere (docs/safety.md), and every order sent from here is repeated in the response to a
+//! report.
+//!
+//! Times are milliseconds on the caller's monotonic clock.
+
+#![warn(missing_docs)]
 
 pub mod phase;
 pub mod reconcile;
 pub mod send_queue;
 
-/// A machine, by the caller's number.
+/// A machine, identified by a number that the caller assigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Machine(pub u32);
 
-/// A zone, by the caller's number.
+/// A zone, identified by a number that the caller assigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Zone(pub u32);
--- a/crates/recovery/src/phase.rs
+++ b/crates/recovery/src/phase.rs
@@ -1,181 +1,191 @@
-//! How far a takeover is.
+//! Progress of a takeover.
 //!
-//! | phase | what is done in it | it is over |
+//! | phase | what the leader does | ends |
 //! | --- | --- | --- |
-//! | reading | nothing is answered but by waiting; the term is held | when all records are read |
-//! | hearing | whoever reports is served at once; places on machines that are on record and not heard yet count as there, so nothing is rented or stopped for them | zone by zone, when nearly all of its machines were heard, or at the bound |
+//! | reading | holds the term and makes requests wait | when all records are loaded |
+//! | hearing | serves workers that report at once; assignments on recorded machines that have not reported count as present, so that nothing is rented or stopped for them | zone by zone, when nearly all of its machines have reported, or at the deadline |
 //! | serving | everything | |
 //!
-//! The bound of hearing: a worker's report to the last leader times out, it finds another controller, and
-//! reports once a period, give or take a quarter.
+//! The deadline of the hearing phase allows for a worker's report to the previous leader to time out, for
+//! the worker to find another controller, and for one report period plus a quarter, by which it may vary.
 
 use crate::{Machine, Zone};
 use std::collections::BTreeMap;
 
-/// A report to a leader that has ended is given up by its worker after this long.
-const FIND_MS: u64 = 4_000;
+/// Time after which a worker gives up a report to a leader that has ended.
+const REPORT_TIMEOUT_MS: u64 = 4_000;
 
-/// A worker that is turned away comes back after this long.
-const TURN_MS: u64 = 1_000;
+/// Time after which a worker that was redirected or rejected reports again.
+const RETRY_MS: u64 = 1_000;
 
-/// One machine of so many that is not heard holds its zone up no longer: it has died like any other may.
-const MISSING: u32 = 50;
+/// A zone closes when at most one in this many of its recorded machines is unreported: a few machines may
+/// have died.
+const RECORDED_PER_UNREPORTED: u32 = 50;
 
-/// See the table above.
+/// Phase of a takeover; see the table in the module documentation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
+    /// Records are being loaded.
     Reading,
+    /// Records are loaded; reports of recorded machines are outstanding.
     Hearing,
+    /// The takeover is complete.
     Serving,
 }
 
 impl Phase {
+    /// Names of the phases in metrics, in the order of the variants.
     pub const NAMES: [&str; 3] = ["reading", "hearing", "serving"];
 }
 
-/// What closed a zone, and how it stood.
+/// A zone that left the hearing phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed {
+    /// The zone that closed.
     pub zone: Zone,
+    /// Number of its machines that were on record.
     pub recorded_machines: u32,
+    /// Number of those that had not reported when the zone closed.
     pub unreported_machines: u32,
-    /// From the start of the takeover.
+    /// Milliseconds since the start of the takeover.
     pub elapsed_ms: u64,
 }
 
+/// Reports of the recorded machines of one zone.
 #[derive(Debug, Default)]
-struct Hearing {
-    recorded: u32,
-    unheard: u32,
+struct ZoneProgress {
+    recorded_machines: u32,
+    unreported_machines: u32,
     closed: bool,
 }
 
-/// One takeover.
+/// Progress of one takeover.
 #[derive(Debug)]
 pub struct Recovery {
-    begun: u64,
-    /// Time has passed until then.
-    at: u64,
-    read: Option<u64>,
-    report_ms: u64,
-    zones: BTreeMap<Zone, Hearing>,
-    /// Machines on record that were not heard in this term, and not gone.
-    unheard: BTreeMap<Machine, Zone>,
-    /// Zones that have closed since that was last asked.
-    closed: Vec<Closed>,
-    /// When the last zone closed.
-    served: Option<u64>,
+    started_at: u64,
+    /// Latest time that the caller has passed in.
+    last_advanced_at: u64,
+    records_loaded_at: Option<u64>,
+    report_period_ms: u64,
+    zones: BTreeMap<Zone, ZoneProgress>,
+    /// Recorded machines that have not reported in this term and are not known to be gone.
+    unreported_machines: BTreeMap<Machine, Zone>,
+    /// Zones that closed since the last call of `advance_time`.
+    newly_closed: Vec<Closed>,
+    /// Time at which the last zone closed.
+    serving_since: Option<u64>,
 }
 
 impl Recovery {
-    /// A term was won. Workers report every `report_ms`.
-    pub fn begin(now: u64, report_ms: u64) -> Recovery {
+    /// Starts a takeover at `now`, when the term was won; workers report every `report_period_ms`.
+    pub fn begin(now: u64, report_period_ms: u64) -> Recovery {
         Recovery {
-            begun: now,
-            at: now,
-            read: None,
-            report_ms,
+            started_at: now,
+            last_advanced_at: now,
+            records_loaded_at: None,
+            report_period_ms,
             zones: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            closed: vec![],
-            served: None,
+            unreported_machines: BTreeMap::new(),
+            newly_closed: vec![],
+            serving_since: None,
         }
     }
 
-    /// The term was won then, before anything was read.
-    pub fn set_started_at(&mut self, won: u64) {
-        self.begun = won;
+    /// Sets the time at which the term was won, before any record was read.
+    pub fn set_started_at(&mut self, started_at: u64) {
+        self.started_at = started_at;
     }
 
-    /// All records are read; these machines are on record.
+    /// Records that all records are loaded, and which machines they list. Without machines the takeover
+    /// is complete.
     pub fn records_loaded(
         &mut self,
         machines: impl IntoIterator<Item = (Machine, Zone)>,
         now: u64,
     ) {
-        self.read = Some(now);
-        self.at = now;
+        self.records_loaded_at = Some(now);
+        self.last_advanced_at = now;
         for (machine, zone) in machines {
-            let z = self.zones.entry(zone).or_default();
-            z.recorded += 1;
-            z.unheard += 1;
-            self.unheard.insert(machine, zone);
+            let progress = self.zones.entry(zone).or_default();
+            progress.recorded_machines += 1;
+            progress.unreported_machines += 1;
+            self.unreported_machines.insert(machine, zone);
         }
         if self.zones.is_empty() {
-            self.served = Some(now);
+            self.serving_since = Some(now);
         }
     }
 
-    /// A machine is gone for certain: it is waited for no longer.
+    /// Records that a machine is certainly gone, so that its report is no longer expected.
     pub fn machine_gone(&mut self, machine: Machine) {
-        self.machine_reported(machine, self.at);
+        self.machine_reported(machine, self.last_advanced_at);
     }
 
-    /// A machine has reported under this term: it is waited for no longer.
+    /// Records that a machine has reported in this term.
     pub fn machine_reported(&mut self, machine: Machine, now: u64) {
-        let Some(zone) = self.unheard.remove(&machine) else { return };
-        let Some(z) = self.zones.get_mut(&zone) else { return };
-        z.unheard = z.unheard.saturating_sub(1);
-        if z.unheard * MISSING <= z.recorded {
+        let Some(zone) = self.unreported_machines.remove(&machine) else { return };
+        let Some(progress) = self.zones.get_mut(&zone) else { return };
+        progress.unreported_machines = progress.unreported_machines.saturating_sub(1);
+        if progress.unreported_machines * RECORDED_PER_UNREPORTED <= progress.recorded_machines {
             self.close(zone, now);
         }
     }
 
     fn close(&mut self, zone: Zone, now: u64) {
-        let Some(z) = self.zones.get_mut(&zone).filter(|z| !z.closed) else { return };
-        z.closed = true;
-        let (recorded, unheard) = (z.recorded, z.unheard);
-        let took_ms = now.saturating_sub(self.begun);
-        self.closed.push(Closed {
-            zone,
-            recorded_machines: recorded,
-            unreported_machines: unheard,
-            elapsed_ms: took_ms,
-        });
+        let Some(progress) = self.zones.get_mut(&zone).filter(|z| !z.closed) else { return };
+        progress.closed = true;
+        let (recorded_machines, unreported_machines) =
+            (progress.recorded_machines, progress.unreported_machines);
+        let elapsed_ms = now.saturating_sub(self.started_at);
+        self.newly_closed.push(Closed { zone, recorded_machines, unreported_machines, elapsed_ms });
         if self.zones.values().all(|z| z.closed) {
-            self.served = Some(now);
+            self.serving_since = Some(now);
         }
     }
 
-    /// Whoever lives has reported by then.
+    /// Returns the time by which every live worker has reported, or `None` until the records are loaded.
     pub fn bound(&self) -> Option<u64> {
-        Some(self.read? + self.report_ms * 5 / 4 + FIND_MS + TURN_MS)
+        Some(self.records_loaded_at? + self.report_period_ms * 5 / 4 + REPORT_TIMEOUT_MS + RETRY_MS)
     }
 
-    /// Time passes; zones that have closed since the last call.
+    /// Advances the time to `now`, closing all zones at the deadline. Returns the zones that closed since
+    /// the last call.
     pub fn advance_time(&mut self, now: u64) -> Vec<Closed> {
-        self.at = now;
-        if self.bound().is_some_and(|bound| now >= bound) {
+        self.last_advanced_at = now;
+        if self.bound().is_some_and(|deadline| now >= deadline) {
             let open: Vec<Zone> =
                 self.zones.iter().filter(|(_, z)| !z.closed).map(|(zone, _)| *zone).collect();
             open.into_iter().for_each(|zone| self.close(zone, now));
         }
-        std::mem::take(&mut self.closed)
+        std::mem::take(&mut self.newly_closed)
     }
 
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
-        match (self.read, self.served) {
+        match (self.records_loaded_at, self.serving_since) {
             (None, _) => Phase::Reading,
             (Some(_), None) => Phase::Hearing,
             (Some(_), Some(_)) => Phase::Serving,
         }
     }
 
-    /// Does what is on record of this machine still count as there, though it was not heard? Not beyond the
-    /// bound: then it is as good as dead, for what is planned.
+    /// Returns whether the recorded assignments of an unreported machine still count as present. After the
+    /// deadline, placement treats the machine as dead.
     pub fn is_report_expected(&self, machine: Machine, now: u64) -> bool {
-        self.bound().is_some_and(|bound| now < bound) && self.unheard.contains_key(&machine)
+        self.bound().is_some_and(|deadline| now < deadline)
+            && self.unreported_machines.contains_key(&machine)
     }
 
-    /// Machines that are waited for.
+    /// Returns the number of machines whose report is outstanding.
     pub fn unreported_count(&self) -> usize {
-        self.unheard.len()
+        self.unreported_machines.len()
     }
 
-    /// How long reading, and the whole takeover, took; as far as they are over.
+    /// Returns the duration of the reading phase and of the whole takeover in milliseconds, each `None`
+    /// until it is over.
     pub fn took(&self) -> (Option<u64>, Option<u64>) {
-        let since = |at: u64| at.saturating_sub(self.begun);
-        (self.read.map(since), self.served.map(since))
+        let elapsed_ms = |at: u64| at.saturating_sub(self.started_at);
+        (self.records_loaded_at.map(elapsed_ms), self.serving_since.map(elapsed_ms))
     }
 }
 
@@ -188,17 +198,20 @@
     }
 
     #[test]
-    fn a_zone_is_served_when_its_own_machines_were_heard_and_waits_for_no_other() {
-        let mut r = Recovery::begin(1_000, 4_000);
-        assert_eq!(r.phase(), Phase::Reading);
-        assert!(!r.is_report_expected(Machine(0), 1_000), "nothing is known before it is read");
-        r.records_loaded(fleet(20), 1_500);
+    fn zone_closes_when_its_own_machines_have_reported() {
+        let mut recovery = Recovery::begin(1_000, 4_000);
+        assert_eq!(recovery.phase(), Phase::Reading);
+        assert!(
+            !recovery.is_report_expected(Machine(0), 1_000),
+            "nothing is expected before records are loaded"
+        );
+        recovery.records_loaded(fleet(20), 1_500);
         for i in (0..20).step_by(2) {
-            assert!(r.is_report_expected(Machine(i), 2_000));
-            r.machine_reported(Machine(i), 2_000);
-            r.machine_reported(Machine(i), 2_000);
+            assert!(recovery.is_report_expected(Machine(i), 2_000));
+            recovery.machine_reported(Machine(i), 2_000);
+            recovery.machine_reported(Machine(i), 2_000);
         }
-        let closed = r.advance_time(2_000);
+        let closed = recovery.advance_time(2_000);
         assert_eq!(
             closed,
             [Closed {
@@ -208,40 +221,44 @@
                 elapsed_ms: 1_000
             }]
         );
-        assert_eq!((r.phase(), r.unreported_count()), (Phase::Hearing, 10));
+        assert_eq!((recovery.phase(), recovery.unreported_count()), (Phase::Hearing, 10));
         assert!(
-            r.is_report_expected(Machine(1), 2_000) && !r.is_report_expected(Machine(0), 2_000)
+            recovery.is_report_expected(Machine(1), 2_000)
+                && !recovery.is_report_expected(Machine(0), 2_000)
         );
     }
 
     #[test]
-    fn hearing_is_over_at_its_bound_whoever_is_missing() {
-        let mut r = Recovery::begin(0, 4_000);
-        r.records_loaded(fleet(20), 500);
-        let bound = r.bound().expect("read");
-        assert_eq!(bound, 500 + 5_000 + 4_000 + 1_000);
-        assert_eq!(r.advance_time(bound - 1), []);
-        assert!(r.is_report_expected(Machine(3), bound - 1));
-        assert_eq!(r.advance_time(bound).len(), 2);
-        assert_eq!((r.phase(), r.advance_time(bound + 1)), (Phase::Serving, vec![]));
-        assert!(!r.is_report_expected(Machine(3), bound), "as good as dead");
-        assert_eq!(r.took(), (Some(500), Some(bound)));
+    fn all_zones_close_at_the_deadline_despite_missing_machines() {
+        let mut recovery = Recovery::begin(0, 4_000);
+        recovery.records_loaded(fleet(20), 500);
+        let deadline = recovery.bound().expect("records are loaded");
+        assert_eq!(deadline, 500 + 5_000 + 4_000 + 1_000);
+        assert_eq!(recovery.advance_time(deadline - 1), []);
+        assert!(recovery.is_report_expected(Machine(3), deadline - 1));
+        assert_eq!(recovery.advance_time(deadline).len(), 2);
+        assert_eq!(
+            (recovery.phase(), recovery.advance_time(deadline + 1)),
+            (Phase::Serving, vec![])
+        );
+        assert!(!recovery.is_report_expected(Machine(3), deadline), "treated as dead");
+        assert_eq!(recovery.took(), (Some(500), Some(deadline)));
     }
 
     #[test]
-    fn a_few_dead_machines_of_many_hold_nothing_up_and_none_is_there_at_once() {
-        let mut r = Recovery::begin(0, 4_000);
-        r.records_loaded((0..100).map(|i| (Machine(i), Zone(0))), 100);
-        (0..97).for_each(|i| r.machine_reported(Machine(i), 900));
-        assert_eq!(r.phase(), Phase::Hearing);
-        r.machine_reported(Machine(97), 950);
-        assert_eq!(r.phase(), Phase::Serving, "two of a hundred are missing");
+    fn few_dead_machines_do_not_delay_a_zone_and_no_machines_means_serving() {
+        let mut recovery = Recovery::begin(0, 4_000);
+        recovery.records_loaded((0..100).map(|i| (Machine(i), Zone(0))), 100);
+        (0..97).for_each(|i| recovery.machine_reported(Machine(i), 900));
+        assert_eq!(recovery.phase(), Phase::Hearing);
+        recovery.machine_reported(Machine(97), 950);
+        assert_eq!(recovery.phase(), Phase::Serving, "two of a hundred are missing");
         assert!(
-            r.is_report_expected(Machine(98), 1_000),
-            "their places still count until the bound"
+            recovery.is_report_expected(Machine(98), 1_000),
+            "its assignments count until the deadline"
         );
-        let mut none = Recovery::begin(0, 4_000);
-        none.records_loaded([], 100);
-        assert_eq!(none.phase(), Phase::Serving, "the very first start");
+        let mut empty = Recovery::begin(0, 4_000);
+        empty.records_loaded([], 100);
+        assert_eq!(empty.phase(), Phase::Serving, "first start of an installation");
     }
 }
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -1,86 +1,92 @@
-//! What is on record, held against what a worker reports: one row for each difference that there can be.
+//! Comparison of records with worker reports: one outcome for each difference that is possible.
 //!
-//! A record may list too many tasks, never too few (docs/safety.md); a report of this term lists all that is on
-//! its machine. What follows from a row is done where reports are taken in; here it is named, so that a takeover
-//! can tell what it met, and an odd start shows.
+//! A record may list too many tasks, but never too few (docs/safety.md); a report of this term lists all
+//! tasks on its machine. The code that processes reports acts on the outcome. This module classifies and
+//! counts outcomes, so that a takeover can log what it found and an unusual start is visible.
 
-/// A task, as the record of a machine and its first report of this term have it.
+/// A task according to the record of a machine and to the machine's first report in this term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskComparison {
-    /// The attempt on record.
+    /// Attempt on record, if any.
     pub recorded: Option<u64>,
+    /// Content of the report for this task, if any.
     pub reported: Option<ReportedTask>,
-    /// Its job is open: accepted, neither over nor cancelled.
+    /// Whether its job is open: accepted, neither finished nor cancelled.
     pub job_open: bool,
-    /// It is done by the records.
+    /// Whether the records list it as done.
     pub recorded_done: bool,
 }
 
-/// What a report says of a task.
+/// A task as listed in a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedTask {
+    /// Attempt that the report names.
     pub attempt: u64,
+    /// State that the report gives.
     pub state: ReportedState,
 }
 
+/// State of a task in a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedState {
-    /// On the machine, in whatever way.
+    /// On the machine, in any state before its end.
     Present,
-    /// Ended as done.
+    /// Completed successfully.
     Done,
-    /// Ended otherwise.
+    /// Ended without being done.
     Ended,
 }
 
-macro_rules! rows {
-    ($($row:ident: $name:literal, $proves:literal, $done:literal;)*) => {
-        /// A difference, or none. The order is that in which they are told.
+macro_rules! outcomes {
+    ($($outcome:ident: $name:literal, $proves:literal, $action:literal;)*) => {
+        /// Outcome of a comparison. Summaries list outcomes in the order of the variants.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
         pub enum ReconcileOutcome { $(
             #[doc = $proves]
-            $row,
+            $outcome,
         )* }
 
         impl ReconcileOutcome {
-            pub const ALL: &[ReconcileOutcome] = &[$(ReconcileOutcome::$row),*];
+            /// All outcomes, in the order of the variants.
+            pub const ALL: &[ReconcileOutcome] = &[$(ReconcileOutcome::$outcome),*];
 
-            /// As logs and metrics name it.
+            /// Returns the name in logs and metrics.
             pub fn name(self) -> &'static str {
-                match self { $(ReconcileOutcome::$row => $name,)* }
+                match self { $(ReconcileOutcome::$outcome => $name,)* }
             }
 
-            /// What it proves.
+            /// Returns a description of what the outcome proves.
             pub fn proves(self) -> &'static str {
-                match self { $(ReconcileOutcome::$row => $proves,)* }
+                match self { $(ReconcileOutcome::$outcome => $proves,)* }
             }
 
-            /// What is done.
+            /// Returns a description of what the leader does about it.
             pub fn follows(self) -> &'static str {
-                match self { $(ReconcileOutcome::$row => $done,)* }
+                match self { $(ReconcileOutcome::$outcome => $action,)* }
             }
         }
     };
 }
 
-rows! {
-    GoneOn: "gone on", "It runs where it is on record.", "It goes on.";
-    DoneMeanwhile: "done meanwhile", "It was completed while nobody led.", "Kept as done, never started again.";
-    EndedMeanwhile: "ended meanwhile", "It left its machine without being done.", "It waits again.";
-    Absent: "absent", "It is not on its machine: never sent, or lost with a session.", "It waits again.";
-    OtherAttempt: "other attempt", "A later start than the one on record, or an older one.", "The later one counts; both are on this machine only.";
-    DoneTwice: "done, and there again", "It is done by the records and is on a machine: started again by a leader that could not read that.", "It counts until it has left, and is stopped.";
-    NotOnRecord: "not on record", "A task of an open job that no list of this machine has.", "It counts while it is there, and is stopped.";
-    JobOver: "of a job that is over", "Its job is over, cancelled or unknown.", "It is stopped; an end of it is forgotten.";
-    MachineUnreported: "not heard", "Nothing: its machine has not reported.", "It counts as there until the machine's lease has surely run out.";
+outcomes! {
+    GoneOn: "gone on", "The task runs where it is recorded.", "It keeps running.";
+    DoneMeanwhile: "done meanwhile", "The task completed while no controller led.", "It is recorded as done and never started again.";
+    EndedMeanwhile: "ended meanwhile", "The task ended on its machine without being done.", "It is queued again.";
+    Absent: "absent", "The task is not on its machine: it was never sent, or was lost with a worker session.", "It is queued again.";
+    OtherAttempt: "other attempt", "The machine has a later attempt than the recorded one, or an earlier one.", "The later attempt counts; both are on this machine only.";
+    DoneTwice: "done, and there again", "The task is recorded as done and is on a machine: a leader that could not read that record started it again.", "It is stopped, and counts until it has left the machine.";
+    NotOnRecord: "not on record", "The task belongs to an open job, and no record of this machine lists it.", "It is stopped, and counts until it has left the machine.";
+    JobOver: "of a job that is over", "The job of the task is finished, cancelled or unknown.", "The task is stopped; if it has ended, the worker is told to forget it.";
+    MachineUnreported: "not heard", "Nothing, since the machine has not reported.", "The task counts as present until the machine's lease has certainly expired.";
 }
 
-/// The row of a task of a machine that has reported under this term. None: nothing was there and nothing is.
-pub fn reconcile(p: TaskComparison) -> Option<ReconcileOutcome> {
-    let row = match (p.recorded, p.reported) {
+/// Classifies a task of a machine that has reported in this term. Returns `None` if it is neither recorded
+/// nor reported.
+pub fn reconcile(comparison: TaskComparison) -> Option<ReconcileOutcome> {
+    let outcome = match (comparison.recorded, comparison.reported) {
         (None, None) => return None,
         (Some(_), None) => ReconcileOutcome::Absent,
-        (_, Some(_)) if !p.job_open => ReconcileOutcome::JobOver,
+        (_, Some(_)) if !comparison.job_open => ReconcileOutcome::JobOver,
         (_, Some(ReportedTask { state: ReportedState::Done, .. })) => {
             ReconcileOutcome::DoneMeanwhile
         }
@@ -88,40 +94,50 @@
         (Some(_), Some(ReportedTask { state: ReportedState::Ended, .. })) => {
             ReconcileOutcome::EndedMeanwhile
         }
-        (_, Some(ReportedTask { state: ReportedState::Present, .. })) if p.recorded_done => {
+        (_, Some(ReportedTask { state: ReportedState::Present, .. }))
+            if comparison.recorded_done =>
+        {
             ReconcileOutcome::DoneTwice
         }
         (None, Some(ReportedTask { state: ReportedState::Present, .. })) => {
             ReconcileOutcome::NotOnRecord
         }
-        (Some(a), Some(r)) if a != r.attempt => ReconcileOutcome::OtherAttempt,
+        (Some(recorded), Some(reported)) if recorded != reported.attempt => {
+            ReconcileOutcome::OtherAttempt
+        }
         (Some(_), Some(_)) => ReconcileOutcome::GoneOn,
     };
-    Some(row)
+    Some(outcome)
 }
 
-/// How often each row was met.
+/// Number of tasks by outcome.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct OutcomeCounts([u64; ReconcileOutcome::ALL.len()]);
 
 impl OutcomeCounts {
-    pub fn add(&mut self, row: ReconcileOutcome, n: u64) {
-        self.0[row as usize] += n;
+    /// Adds `n` tasks with the given outcome.
+    pub fn add(&mut self, outcome: ReconcileOutcome, n: u64) {
+        self.0[outcome as usize] += n;
     }
 
-    pub fn of(&self, row: ReconcileOutcome) -> u64 {
-        self.0[row as usize]
+    /// Returns the number of tasks with the given outcome.
+    pub fn of(&self, outcome: ReconcileOutcome) -> u64 {
+        self.0[outcome as usize]
     }
 
+    /// Returns all outcomes with their counts, zero counts included.
     pub fn iter(&self) -> impl Iterator<Item = (ReconcileOutcome, u64)> + '_ {
-        ReconcileOutcome::ALL.iter().map(|row| (*row, self.of(*row)))
+        ReconcileOutcome::ALL.iter().map(|outcome| (*outcome, self.of(*outcome)))
     }
 
-    /// In words, without what was not met.
+    /// Returns the nonzero counts as text for the log.
     pub fn summary(&self) -> String {
-        let met: Vec<String> =
-            self.iter().filter(|(_, n)| *n > 0).map(|(r, n)| format!("{n} {}", r.name())).collect();
-        if met.is_empty() { "nothing to square".into() } else { met.join(", ") }
+        let counts: Vec<String> = self
+            .iter()
+            .filter(|(_, n)| *n > 0)
+            .map(|(outcome, n)| format!("{n} {}", outcome.name()))
+            .collect();
+        if counts.is_empty() { "nothing to reconcile".into() } else { counts.join(", ") }
     }
 }
 
@@ -130,8 +146,8 @@
     use super::*;
 
     #[test]
-    fn every_case_has_one_row_and_every_row_a_case() {
-        let there = |attempt| Some(ReportedTask { attempt, state: ReportedState::Present });
+    fn every_case_has_one_outcome_and_every_outcome_a_case() {
+        let present = |attempt| Some(ReportedTask { attempt, state: ReportedState::Present });
         let done = Some(ReportedTask { attempt: 7, state: ReportedState::Done });
         let ended = Some(ReportedTask { attempt: 7, state: ReportedState::Ended });
         let open = |recorded, reported| TaskComparison {
@@ -140,47 +156,47 @@
             job_open: true,
             recorded_done: false,
         };
-        let over =
+        let job_over =
             |recorded, reported| TaskComparison { job_open: false, ..open(recorded, reported) };
-        let again =
+        let recorded_done =
             |recorded, reported| TaskComparison { recorded_done: true, ..open(recorded, reported) };
-        let rows = [
+        let cases = [
             (open(None, None), None),
-            (open(Some(7), there(7)), Some(ReconcileOutcome::GoneOn)),
+            (open(Some(7), present(7)), Some(ReconcileOutcome::GoneOn)),
             (open(Some(7), done), Some(ReconcileOutcome::DoneMeanwhile)),
             (open(None, done), Some(ReconcileOutcome::DoneMeanwhile)),
             (open(Some(7), ended), Some(ReconcileOutcome::EndedMeanwhile)),
             (open(None, ended), Some(ReconcileOutcome::JobOver)),
             (open(Some(7), None), Some(ReconcileOutcome::Absent)),
-            (over(Some(7), None), Some(ReconcileOutcome::Absent)),
-            (open(Some(7), there(8)), Some(ReconcileOutcome::OtherAttempt)),
-            (open(Some(8), there(7)), Some(ReconcileOutcome::OtherAttempt)),
-            (again(Some(7), there(7)), Some(ReconcileOutcome::DoneTwice)),
-            (again(None, there(7)), Some(ReconcileOutcome::DoneTwice)),
-            (open(None, there(7)), Some(ReconcileOutcome::NotOnRecord)),
-            (over(None, there(7)), Some(ReconcileOutcome::JobOver)),
-            (over(Some(7), there(7)), Some(ReconcileOutcome::JobOver)),
-            (over(Some(7), done), Some(ReconcileOutcome::JobOver)),
+            (job_over(Some(7), None), Some(ReconcileOutcome::Absent)),
+            (open(Some(7), present(8)), Some(ReconcileOutcome::OtherAttempt)),
+            (open(Some(8), present(7)), Some(ReconcileOutcome::OtherAttempt)),
+            (recorded_done(Some(7), present(7)), Some(ReconcileOutcome::DoneTwice)),
+            (recorded_done(None, present(7)), Some(ReconcileOutcome::DoneTwice)),
+            (open(None, present(7)), Some(ReconcileOutcome::NotOnRecord)),
+            (job_over(None, present(7)), Some(ReconcileOutcome::JobOver)),
+            (job_over(Some(7), present(7)), Some(ReconcileOutcome::JobOver)),
+            (job_over(Some(7), done), Some(ReconcileOutcome::JobOver)),
         ];
-        for (pair, row) in rows {
-            assert_eq!(reconcile(pair), row, "{pair:?}");
+        for (comparison, expected) in cases {
+            assert_eq!(reconcile(comparison), expected, "{comparison:?}");
         }
-        for row in
+        for outcome in
             ReconcileOutcome::ALL.iter().filter(|r| **r != ReconcileOutcome::MachineUnreported)
         {
-            assert!(rows.iter().any(|(_, r)| *r == Some(*row)), "{row:?} is never met");
+            assert!(cases.iter().any(|(_, r)| *r == Some(*outcome)), "{outcome:?} is not covered");
         }
     }
 
     #[test]
-    fn counts_are_told_in_words_without_what_was_not_met() {
-        let mut c = OutcomeCounts::default();
-        assert_eq!(c.summary(), "nothing to square");
-        c.add(ReconcileOutcome::GoneOn, 3);
-        c.add(ReconcileOutcome::MachineUnreported, 1);
-        c.add(ReconcileOutcome::GoneOn, 1);
+    fn summary_lists_only_nonzero_counts() {
+        let mut counts = OutcomeCounts::default();
+        assert_eq!(counts.summary(), "nothing to reconcile");
+        counts.add(ReconcileOutcome::GoneOn, 3);
+        counts.add(ReconcileOutcome::MachineUnreported, 1);
+        counts.add(ReconcileOutcome::GoneOn, 1);
         assert_eq!(
-            (c.summary().as_str(), c.of(ReconcileOutcome::GoneOn)),
+            (counts.summary().as_str(), counts.of(ReconcileOutcome::GoneOn)),
             ("4 gone on, 1 not heard", 4)
         );
     }
