--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,10 +1,13 @@
-//! Rolling out with a change of the stored state.
+//! Rollout of releases that change the format of the stored state.
 //!
-//! Decisions alone: no socket, no clock. Every controller records what it can; the leader moves an ability from
-//! stage to stage once all members have recorded it, in a transaction on its own key and on what it counted; a
-//! release that doesn't know an ability whose stage matters does not lead, and one that knows nothing of stages
-//! can't even read the term. The records decide; what controllers tell each other in frames is never counted.
-//! docs/rollout.md has the alternatives, docs/safety.md what rests on it.
+//! This crate holds decisions only; it opens no sockets and reads no clock. Every controller records its
+//! abilities. The leader moves an ability to its next stage once all members have recorded it, in a
+//! transaction that is conditional on the leader's own key and on the records it relied on. A release that
+//! doesn't know an ability in use doesn't lead, and a release without stages can't even read the term. Only
+//! records count, never what controllers report to each other in frames. docs/rollout.md describes the
+//! alternatives, docs/safety.md what depends on this.
+
+#![warn(missing_docs)]
 
 pub mod abilities;
 pub mod stages;
@@ -14,10 +17,10 @@
 pub use stages::{Stage, StageEntry, StagesRecord};
 pub use transition::{AbilityOverrides, HoldReason, Transition, next_transition};
 
-/// The lists of several machines in one record (`p/N`).
+/// Name of the ability to store the task lists of several machines in one record (`p/N`).
 pub const PACKS: &str = "packs";
 
-/// What this release can.
+/// Abilities of this release.
 pub const ABILITIES: [&str; 1] = [PACKS];
 
 #[cfg(test)]
@@ -29,98 +32,115 @@
         names.iter().map(ToString::to_string).collect()
     }
 
-    fn at(stage: Option<Stage>, born: bool) -> StagesRecord {
-        let none = StagesRecord { born_with_stages: born, ..StagesRecord::default() };
-        stage.map_or(none.clone(), |s| none.with_stage(PACKS, s, 3, vec![]))
+    fn record(stage: Option<Stage>, born_with_stages: bool) -> StagesRecord {
+        let empty = StagesRecord { born_with_stages, ..StagesRecord::default() };
+        stage.map_or(empty.clone(), |s| empty.with_stage(PACKS, s, 3, vec![]))
     }
 
     #[test]
-    fn each_stage_has_one_next_step() {
+    fn each_stage_has_one_next_transition() {
         let members: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
         let all = ["a", "b", "c"];
-        let cans = |who: &[&str]| -> BTreeMap<String, AbilitiesRecord> {
-            who.iter().map(|m| (m.to_string(), AbilitiesRecord::for_release(3))).collect()
+        let recorded_by = |names: &[&str]| -> BTreeMap<String, AbilitiesRecord> {
+            names.iter().map(|m| (m.to_string(), AbilitiesRecord::for_release(3))).collect()
         };
-        let off = AbilityOverrides { disabled: set(&[PACKS]), ..AbilityOverrides::default() };
-        let on = AbilityOverrides { enabled: set(&[PACKS]), ..AbilityOverrides::default() };
-        let gone =
+        let disabled = AbilityOverrides { disabled: set(&[PACKS]), ..AbilityOverrides::default() };
+        let enabled = AbilityOverrides { enabled: set(&[PACKS]), ..AbilityOverrides::default() };
+        let one_excluded =
             AbilityOverrides { excluded_members: set(&["c"]), ..AbilityOverrides::default() };
-        let lone = AbilityOverrides { excluded_members: set(&all), ..AbilityOverrides::default() };
-        let plain = AbilityOverrides::default();
-        let to = |stage, who: &[&str]| {
-            Transition::Move(stage, who.iter().map(ToString::to_string).collect())
+        let all_excluded =
+            AbilityOverrides { excluded_members: set(&all), ..AbilityOverrides::default() };
+        let default = AbilityOverrides::default();
+        let move_to = |stage, names: &[&str]| {
+            Transition::Move(stage, names.iter().map(ToString::to_string).collect())
         };
-        let waits = |who: &[&str]| {
+        let missing = |names: &[&str]| {
             Transition::Hold(HoldReason::MissingMembers(
-                who.iter().map(ToString::to_string).collect(),
+                names.iter().map(ToString::to_string).collect(),
             ))
         };
         use Stage::*;
-        let rows = [
-            (at(None, true), &plain, &all[..], false, to(Written, &all)),
-            (at(None, true), &plain, &all[..2], false, waits(&["c"])),
-            (at(None, true), &gone, &all[..2], false, to(Written, &all[..2])),
-            (at(None, true), &lone, &all[..], false, waits(&[])),
+        let cases = [
+            (record(None, true), &default, &all[..], false, move_to(Written, &all)),
+            (record(None, true), &default, &all[..2], false, missing(&["c"])),
+            (record(None, true), &one_excluded, &all[..2], false, move_to(Written, &all[..2])),
+            (record(None, true), &all_excluded, &all[..], false, missing(&[])),
             (
-                at(None, false),
-                &plain,
+                record(None, false),
+                &default,
                 &all[..],
                 false,
                 Transition::Hold(HoldReason::LegacyInstallation),
             ),
-            (at(None, false), &on, &all[..], false, to(Written, &all)),
-            (at(None, false), &on, &all[..1], false, waits(&["b", "c"])),
-            (at(None, true), &off, &all[..], false, Transition::Hold(HoldReason::Disabled)),
+            (record(None, false), &enabled, &all[..], false, move_to(Written, &all)),
+            (record(None, false), &enabled, &all[..1], false, missing(&["b", "c"])),
+            (
+                record(None, true),
+                &disabled,
+                &all[..],
+                false,
+                Transition::Hold(HoldReason::Disabled),
+            ),
             (
-                at(Some(Written), true),
-                &plain,
+                record(Some(Written), true),
+                &default,
                 &[][..],
                 true,
                 Transition::Hold(HoldReason::Complete),
             ),
-            (at(Some(Written), true), &off, &[][..], true, to(Read, &[])),
+            (record(Some(Written), true), &disabled, &[][..], true, move_to(Read, &[])),
             (
-                at(Some(Read), true),
-                &off,
+                record(Some(Read), true),
+                &disabled,
                 &[][..],
                 true,
                 Transition::Hold(HoldReason::RemainingRecords),
             ),
-            (at(Some(Read), true), &off, &[][..], false, to(Known, &[])),
-            // Wanted again before it was over.
-            (at(Some(Read), false), &plain, &all[..], true, to(Written, &all)),
-            (at(Some(Read), false), &plain, &all[..1], true, waits(&["b", "c"])),
+            (record(Some(Read), true), &disabled, &[][..], false, move_to(Known, &[])),
+            // Enabled again before the withdrawal was complete.
+            (record(Some(Read), false), &default, &all[..], true, move_to(Written, &all)),
+            (record(Some(Read), false), &default, &all[..1], true, missing(&["b", "c"])),
         ];
-        for (i, (stages, wish, who, left, expected)) in rows.into_iter().enumerate() {
+        for (i, (stages, overrides, names, records_remain, expected)) in
+            cases.into_iter().enumerate()
+        {
             assert_eq!(
-                next_transition(PACKS, &stages, &members, &cans(who), wish, left),
+                next_transition(
+                    PACKS,
+                    &stages,
+                    &members,
+                    &recorded_by(names),
+                    overrides,
+                    records_remain
+                ),
                 expected,
-                "row {i}"
+                "case {i}"
             );
         }
     }
 
     #[test]
-    fn what_is_not_known_keeps_a_release_from_leading_only_where_it_matters() {
-        let other = |stage| {
-            let mut s = at(None, true);
-            s.stages
+    fn only_abilities_in_use_keep_a_release_from_leading() {
+        let unknown_ability = |stage| {
+            let mut stages = record(None, true);
+            stages
+                .stages
                 .insert("shards".into(), StageEntry { stage, term: 1, counted_members: vec![] });
-            s
+            stages
         };
-        for (stages, unknown, fences) in [
-            (at(None, true), None, false),
-            (at(Some(Stage::Known), true), None, false),
-            (at(Some(Stage::Read), true), None, true),
-            (at(Some(Stage::Written), true), None, true),
-            (other(0), None, false),
-            (other(1), Some("shards"), true),
-            (other(2), Some("shards"), true),
-            (other(9), Some("shards"), true),
+        for (stages, unsupported, requires_fence) in [
+            (record(None, true), None, false),
+            (record(Some(Stage::Known), true), None, false),
+            (record(Some(Stage::Read), true), None, true),
+            (record(Some(Stage::Written), true), None, true),
+            (unknown_ability(0), None, false),
+            (unknown_ability(1), Some("shards"), true),
+            (unknown_ability(2), Some("shards"), true),
+            (unknown_ability(9), Some("shards"), true),
         ] {
             assert_eq!(
                 (stages.unsupported_ability(), stages.requires_fence()),
-                (unknown, fences),
+                (unsupported, requires_fence),
                 "{stages:?}"
             );
         }
--- a/crates/rollout/src/transition.rs
+++ b/crates/rollout/src/transition.rs
@@ -1,75 +1,82 @@
-//! The next step of an ability, or what it waits for.
+//! Next stage of an ability, or the reason why it stays at its stage.
 
 use crate::abilities::AbilitiesRecord;
 use crate::stages::{Stage, StagesRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What operators want, from their own settings.
+/// Overrides of abilities from the operators' settings.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AbilityOverrides {
-    /// Abilities to be switched on although the installation began with an older release: whoever sets this
-    /// knows that none of it comes back.
+    /// Abilities to enable although the installation began with an older release. The operator asserts that
+    /// no process of that release will start again.
     pub enabled: BTreeSet<String>,
-    /// Abilities that are to be taken back, or never switched on.
+    /// Abilities to withdraw or never enable.
     pub disabled: BTreeSet<String>,
-    /// Members that are gone for good, and not counted.
+    /// Members that are permanently gone and not required to have the ability.
     pub excluded_members: BTreeSet<String>,
 }
 
-/// What an ability waits for.
+/// Reason why an ability stays at its stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldReason {
-    /// Operators don't want it.
+    /// Operators disabled the ability.
     Disabled,
-    /// It is as far as it goes.
+    /// The ability has reached its last stage.
     Complete,
-    /// The installation began with a release that knows no stages: operators have to say that none comes back.
+    /// The installation began with a release that knows no stages. Operators must confirm that no process of
+    /// such a release will start again.
     LegacyInstallation,
-    /// These members have not recorded that they can.
+    /// These members have not recorded the ability. The list is empty if all members are excluded.
     MissingMembers(Vec<String>),
-    /// Records of its form are still there.
+    /// There are still records in the new format.
     RemainingRecords,
 }
 
-/// The next thing to do about an ability.
+/// Next step for an ability.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
-    /// To this stage; counted are these members, whose records the move is conditional on.
+    /// Move to this stage, on condition that the records of these members are unchanged.
     Move(Stage, Vec<String>),
+    /// Stay at the current stage for this reason.
     Hold(HoldReason),
 }
 
-/// `cans`: what the members have recorded; `left`: are there records of its form? As read by the leader, after
+/// Decides the next step for an ability. `abilities` holds the members' records by member name, and
+/// `records_remain` tells whether there are records in the new format; the leader must read both after
 /// `stages`.
 pub fn next_transition(
     ability: &str,
     stages: &StagesRecord,
     members: &[String],
-    cans: &BTreeMap<String, AbilitiesRecord>,
-    wish: &AbilityOverrides,
-    left: bool,
+    abilities: &BTreeMap<String, AbilitiesRecord>,
+    overrides: &AbilityOverrides,
+    records_remain: bool,
 ) -> Transition {
     let stage = stages.stage(ability);
-    let off = wish.disabled.contains(ability);
-    match (stage, off) {
-        // Back: first nobody writes it, then, when nothing of it is left, it is as if it had never been.
+    let disabled = overrides.disabled.contains(ability);
+    match (stage, disabled) {
+        // Withdrawal: first no controller writes the new format; once no such record remains, the ability is
+        // back at its initial stage.
         (Stage::Written, true) => return Transition::Move(Stage::Read, vec![]),
-        (Stage::Read, true) if left => return Transition::Hold(HoldReason::RemainingRecords),
+        (Stage::Read, true) if records_remain => {
+            return Transition::Hold(HoldReason::RemainingRecords);
+        }
         (Stage::Read, true) => return Transition::Move(Stage::Known, vec![]),
         (Stage::Known, true) => return Transition::Hold(HoldReason::Disabled),
         (Stage::Written, false) => return Transition::Hold(HoldReason::Complete),
         (Stage::Known | Stage::Read, false) => {}
     }
-    if !stages.born_with_stages && !wish.enabled.contains(ability) && stage == Stage::Known {
+    if !stages.born_with_stages && !overrides.enabled.contains(ability) && stage == Stage::Known {
         return Transition::Hold(HoldReason::LegacyInstallation);
     }
-    let counted: Vec<&String> =
-        members.iter().filter(|m| !wish.excluded_members.contains(*m)).collect();
-    let can = |m: &&&String| cans.get(**m).is_some_and(|c| c.abilities.contains(ability));
+    let counted_members: Vec<&String> =
+        members.iter().filter(|m| !overrides.excluded_members.contains(*m)).collect();
+    let has_ability =
+        |m: &&&String| abilities.get(**m).is_some_and(|record| record.abilities.contains(ability));
     let missing: Vec<String> =
-        counted.iter().filter(|m| !can(m)).map(ToString::to_string).collect();
-    if !missing.is_empty() || counted.is_empty() {
+        counted_members.iter().filter(|m| !has_ability(m)).map(ToString::to_string).collect();
+    if !missing.is_empty() || counted_members.is_empty() {
         return Transition::Hold(HoldReason::MissingMembers(missing));
     }
-    Transition::Move(Stage::Written, counted.into_iter().cloned().collect())
+    Transition::Move(Stage::Written, counted_members.into_iter().cloned().collect())
 }
