--- a/crates/rollout/tests/explore.rs
+++ b/crates/rollout/tests/explore.rs
@@ -1,6 +1,8 @@
-//! A small world, explored exhaustively: three members that end, and come back with either release, or with one
-//! that knows no stages; a leader that moves stages, writes and takes back; operators who change their minds. Every
-//! order of events to a depth; states met once. The shortest way to a broken property is printed.
+//! Exhaustive exploration of a small model of a rollout.
+//!
+//! Three members end and restart with a release that knows stages or with one that doesn't; a leader moves
+//! stages, writes packs and converts them back; operators enable and disable the ability. Every order of events
+//! up to a depth is explored, each state once. The shortest path to a violated property is printed.
 
 use copperhaven_rollout::{
     AbilitiesRecord, AbilityOverrides, PACKS, Stage, StagesRecord, Transition, next_transition,
@@ -10,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Process {
     Down,
-    /// Knows no stages.
+    /// Runs a release without stages.
     Old,
     New,
 }
@@ -18,16 +20,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
     process: [Process; 3],
-    /// What is on record of each: it can.
-    can: [bool; 3],
+    /// Whether each member has recorded the ability.
+    recorded: [bool; 3],
     stage: u8,
-    born: bool,
+    born_with_stages: bool,
     leader: Option<usize>,
-    /// Are there packs on record, and did a leader that can't see them lead while there were?
+    /// Whether packs are stored.
     packs: bool,
-    blind: bool,
-    on: bool,
-    off: bool,
+    /// Whether a release that can't see packs was elected while there were some.
+    led_without_seeing_packs: bool,
+    enabled: bool,
+    disabled: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -36,181 +39,206 @@
     Start(usize, Process),
     Record(usize),
     Elect(usize),
-    Step,
-    Write,
-    Clear,
-    On,
-    Off,
+    Transition,
+    WritePacks,
+    ClearPacks,
+    Enable,
+    ToggleDisabled,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// Faults put in on purpose.
+/// Faults injected to check that the exploration finds them.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
     /// A release without stages can read the term.
     NoFence,
-    /// Members that were not heard are counted as able.
-    CountsAll,
-    /// It is taken back while there are still records of it.
-    BackTooEarly,
+    /// Members that have not recorded the ability are counted as having it.
+    CountsAllMembers,
+    /// The ability returns to its initial stage while there are still packs.
+    WithdrawnTooEarly,
 }
 
-fn stages(w: &World) -> StagesRecord {
-    let none = StagesRecord { born_with_stages: w.born, ..StagesRecord::default() };
-    let stage = [Stage::Known, Stage::Read, Stage::Written][w.stage as usize];
-    none.with_stage(PACKS, stage, 1, vec![])
+fn stages(world: &World) -> StagesRecord {
+    let empty =
+        StagesRecord { born_with_stages: world.born_with_stages, ..StagesRecord::default() };
+    let stage = [Stage::Known, Stage::Read, Stage::Written][world.stage as usize];
+    empty.with_stage(PACKS, stage, 1, vec![])
 }
 
-fn step(w: &World, e: Event, fault: Fault) -> Option<World> {
-    let mut n = w.clone();
-    match e {
-        Event::End(i) if w.process[i] != Process::Down => {
-            n.process[i] = Process::Down;
-            n.leader = n.leader.filter(|l| *l != i);
+fn apply(world: &World, event: Event, fault: Fault) -> Option<World> {
+    let mut next = world.clone();
+    match event {
+        Event::End(i) if world.process[i] != Process::Down => {
+            next.process[i] = Process::Down;
+            next.leader = next.leader.filter(|l| *l != i);
         }
-        Event::Start(i, p) if w.process[i] == Process::Down => n.process[i] = p,
-        Event::Record(i) if w.process[i] == Process::New && !w.can[i] => n.can[i] = true,
-        Event::Elect(i) if w.leader.is_none() => {
-            match w.process[i] {
+        Event::Start(i, process) if world.process[i] == Process::Down => next.process[i] = process,
+        Event::Record(i) if world.process[i] == Process::New && !world.recorded[i] => {
+            next.recorded[i] = true
+        }
+        Event::Elect(i) if world.leader.is_none() => {
+            match world.process[i] {
                 Process::Down => return None,
-                Process::Old if stages(w).requires_fence() && fault != Fault::NoFence => {
+                Process::Old if stages(world).requires_fence() && fault != Fault::NoFence => {
                     return None;
                 }
-                Process::New if stages(w).unsupported_ability().is_some() => return None,
+                Process::New if stages(world).unsupported_ability().is_some() => return None,
                 _ => {}
             }
-            n.leader = Some(i);
-            n.blind |= w.process[i] == Process::Old && w.packs;
+            next.leader = Some(i);
+            next.led_without_seeing_packs |= world.process[i] == Process::Old && world.packs;
         }
-        Event::Step => {
-            let leader = w.leader.filter(|l| w.process[*l] == Process::New)?;
+        Event::Transition => {
+            let leader = world.leader.filter(|l| world.process[*l] == Process::New)?;
             let members: Vec<String> = NAMES.map(String::from).to_vec();
-            let counts = |i: usize| w.can[i] || fault == Fault::CountsAll;
-            let cans: BTreeMap<String, AbilitiesRecord> = (0..3)
-                .filter(|i| counts(*i))
+            let is_counted = |i: usize| world.recorded[i] || fault == Fault::CountsAllMembers;
+            let abilities: BTreeMap<String, AbilitiesRecord> = (0..3)
+                .filter(|i| is_counted(*i))
                 .map(|i| (NAMES[i].to_string(), AbilitiesRecord::for_release(3)))
                 .collect();
-            let mut wish = AbilityOverrides::default();
-            if w.on {
-                wish.enabled.insert(PACKS.into());
+            let mut overrides = AbilityOverrides::default();
+            if world.enabled {
+                overrides.enabled.insert(PACKS.into());
             }
-            if w.off {
-                wish.disabled.insert(PACKS.into());
+            if world.disabled {
+                overrides.disabled.insert(PACKS.into());
             }
-            let left = w.packs && fault != Fault::BackTooEarly;
-            match next_transition(PACKS, &stages(w), &members, &cans, &wish, left) {
-                Transition::Move(stage, _) => n.stage = stage as u8,
+            let records_remain = world.packs && fault != Fault::WithdrawnTooEarly;
+            match next_transition(
+                PACKS,
+                &stages(world),
+                &members,
+                &abilities,
+                &overrides,
+                records_remain,
+            ) {
+                Transition::Move(stage, _) => next.stage = stage as u8,
                 Transition::Hold(_) => return None,
             }
             let _ = leader;
         }
-        Event::Write => {
-            w.leader.filter(|l| w.process[*l] == Process::New && w.stage == 2)?;
-            n.packs = true;
+        Event::WritePacks => {
+            world.leader.filter(|l| world.process[*l] == Process::New && world.stage == 2)?;
+            next.packs = true;
         }
-        Event::Clear => {
-            w.leader.filter(|l| w.process[*l] == Process::New && w.stage == 1)?;
-            n.packs = false;
+        Event::ClearPacks => {
+            world.leader.filter(|l| world.process[*l] == Process::New && world.stage == 1)?;
+            next.packs = false;
         }
-        Event::On if !w.on => n.on = true,
-        Event::Off => n.off = !w.off,
+        Event::Enable if !world.enabled => next.enabled = true,
+        Event::ToggleDisabled => next.disabled = !world.disabled,
         _ => return None,
     }
-    (n != *w).then_some(n)
+    (next != *world).then_some(next)
 }
 
-/// What must hold whatever happens.
-fn broken(before: &World, after: &World) -> Option<&'static str> {
-    if after.blind {
+/// Returns the property that a step violates, if any.
+fn violated_property(before: &World, after: &World) -> Option<&'static str> {
+    if after.led_without_seeing_packs {
         return Some("a release that does not see packs leads while there are some");
     }
     if after.packs && after.stage == 0 {
         return Some("packs are on record though nothing says so");
     }
-    if after.stage == 2 && before.stage != 2 && !after.can.iter().all(|c| *c) {
+    if after.stage == 2 && before.stage != 2 && !after.recorded.iter().all(|recorded| *recorded) {
         return Some("it is switched on though a member has not recorded that it can");
     }
-    if after.stage != 0 && !after.born && !after.on {
+    if after.stage != 0 && !after.born_with_stages && !after.enabled {
         return Some("it is switched on where an older release was, and nobody said so");
     }
     None
 }
 
-/// The number of states, or the shortest way to a broken property.
-fn explore(first: World, depth: usize, fault: Fault) -> Result<usize, (String, Vec<Event>)> {
-    let mut events = vec![Event::Step, Event::Write, Event::Clear, Event::On, Event::Off];
+/// Returns the number of states, or a violated property with the shortest path of events to it.
+fn explore(initial: World, depth: usize, fault: Fault) -> Result<usize, (String, Vec<Event>)> {
+    let mut events = vec![
+        Event::Transition,
+        Event::WritePacks,
+        Event::ClearPacks,
+        Event::Enable,
+        Event::ToggleDisabled,
+    ];
     for i in 0..3 {
         events.extend([Event::End(i), Event::Record(i), Event::Elect(i)]);
         events.extend([Event::Start(i, Process::Old), Event::Start(i, Process::New)]);
     }
-    let mut met = HashSet::from([first.clone()]);
-    let mut came: HashMap<World, (World, Event)> = HashMap::new();
-    let mut queue = VecDeque::from([(first, 0)]);
-    while let Some((w, d)) = queue.pop_front() {
-        if d == depth {
+    let mut visited = HashSet::from([initial.clone()]);
+    let mut predecessors: HashMap<World, (World, Event)> = HashMap::new();
+    let mut queue = VecDeque::from([(initial, 0)]);
+    while let Some((world, distance)) = queue.pop_front() {
+        if distance == depth {
             continue;
         }
-        for e in &events {
-            let Some(n) = step(&w, *e, fault) else { continue };
-            if let Some(what) = broken(&w, &n) {
-                let mut way = vec![*e];
-                let mut at = w.clone();
-                while let Some((before, e)) = came.get(&at) {
-                    way.insert(0, *e);
+        for event in &events {
+            let Some(next) = apply(&world, *event, fault) else { continue };
+            if let Some(property) = violated_property(&world, &next) {
+                let mut path = vec![*event];
+                let mut at = world.clone();
+                while let Some((before, event)) = predecessors.get(&at) {
+                    path.insert(0, *event);
                     at = before.clone();
                 }
-                return Err((what.into(), way));
+                return Err((property.into(), path));
             }
-            if met.insert(n.clone()) {
-                came.insert(n.clone(), (w.clone(), *e));
-                queue.push_back((n, d + 1));
+            if visited.insert(next.clone()) {
+                predecessors.insert(next.clone(), (world.clone(), *event));
+                queue.push_back((next, distance + 1));
             }
         }
     }
-    Ok(met.len())
+    Ok(visited.len())
 }
 
-fn world(born: bool, process: Process) -> World {
-    let (can, leader) = ([false; 3], None);
+fn world(born_with_stages: bool, process: Process) -> World {
+    let (recorded, leader) = ([false; 3], None);
     let process = [process; 3];
     World {
         process,
-        can,
+        recorded,
         stage: 0,
-        born,
+        born_with_stages,
         leader,
         packs: false,
-        blind: false,
-        on: false,
-        off: false,
+        led_without_seeing_packs: false,
+        enabled: false,
+        disabled: false,
     }
 }
 
 const DEPTH: usize = 14;
 
 #[test]
-fn no_order_of_events_breaks_a_property() {
-    for (born, process) in [(true, Process::New), (false, Process::Old), (false, Process::New)] {
-        let met = explore(world(born, process), DEPTH, Fault::None);
-        let met = met.unwrap_or_else(|(what, way)| panic!("{what}: {way:?}"));
-        println!("born {born}, {process:?}: {met} states to a depth of {DEPTH}");
-        assert!(met > 1_000, "{met}");
+fn no_order_of_events_violates_a_property() {
+    for (born_with_stages, process) in
+        [(true, Process::New), (false, Process::Old), (false, Process::New)]
+    {
+        let states = explore(world(born_with_stages, process), DEPTH, Fault::None);
+        let states = states.unwrap_or_else(|(property, path)| panic!("{property}: {path:?}"));
+        println!(
+            "born with stages {born_with_stages}, {process:?}: {states} states to a depth of {DEPTH}"
+        );
+        assert!(states > 1_000, "{states}");
     }
 }
 
 #[test]
-fn faults_put_in_on_purpose_are_found() {
+fn injected_faults_are_found() {
     let cases = [
         (Fault::NoFence, true, "a release that does not see packs leads while there are some"),
-        (Fault::CountsAll, true, "it is switched on though a member has not recorded that it can"),
-        (Fault::BackTooEarly, true, "packs are on record though nothing says so"),
+        (
+            Fault::CountsAllMembers,
+            true,
+            "it is switched on though a member has not recorded that it can",
+        ),
+        (Fault::WithdrawnTooEarly, true, "packs are on record though nothing says so"),
     ];
-    for (fault, born, expected) in cases {
-        let (what, way) = explore(world(born, Process::New), DEPTH, fault).expect_err(expected);
-        println!("{what}: {way:?}");
-        assert_eq!(what, expected);
-        assert!(way.len() <= 12, "the shortest way: {way:?}");
+    for (fault, born_with_stages, expected) in cases {
+        let (property, path) =
+            explore(world(born_with_stages, Process::New), DEPTH, fault).expect_err(expected);
+        println!("{property}: {path:?}");
+        assert_eq!(property, expected);
+        assert!(path.len() <= 12, "shortest path: {path:?}");
     }
 }
