--- a/crates/controller/tests/architecture.rs
+++ b/crates/controller/tests/architecture.rs
@@ -1,16 +1,19 @@
-//! Which way the parts of each crate depend on one another (docs/architecture.md): no circle between
-//! files of different slices, crates that point one way, files and impls that stay small.
+//! Checks the dependency rules of docs/architecture.md: files of different slices of a crate have no cyclic
+//! dependencies, crates depend on each other in one direction only, and files and `impl` blocks stay within
+//! line limits. A slice is a top-level module of a crate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-const MOST_LINES: usize = 800;
-const MOST_IMPL: usize = 400;
+const MAX_FILE_LINES: usize = 800;
+const MAX_IMPL_LINES: usize = 400;
 
-fn crates() -> PathBuf {
+/// Returns the folder that holds all crates.
+fn crates_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
+/// Adds all Rust files at or below `dir` to `out`, sorted by path.
 fn rust_files(dir: &Path, out: &mut Vec<PathBuf>) {
     let Ok(entries) = std::fs::read_dir(dir) else { return };
     for path in entries.filter_map(|e| Some(e.ok()?.path())) {
@@ -23,9 +26,9 @@
     out.sort();
 }
 
-/// A crate's files by module path (`state/cell`), without tests and comments.
+/// Returns a crate's source text by module path (`state/leader_state`), without tests and comment lines.
 fn modules(name: &str) -> BTreeMap<String, String> {
-    let src = crates().join(name).join("src");
+    let src = crates_dir().join(name).join("src");
     let mut files = vec![];
     rust_files(&src, &mut files);
     let mut out = BTreeMap::new();
@@ -39,19 +42,19 @@
         let text = std::fs::read_to_string(&file).expect("readable");
         let code = text.split("#[cfg(test)]\nmod tests {").next().unwrap_or_default();
         let lines = code.lines().filter(|l| !l.trim_start().starts_with("//"));
-        // A call in a chain of lines stands beside what it is called on.
+        // Joins method chains that span lines, so that each method name directly follows its receiver.
         let code = lines.fold(String::new(), |code, line| match line.trim_start() {
             chained if chained.starts_with('.') => code + chained,
             _ => code + "\n" + line,
         });
         out.insert(module, code);
     }
-    assert!(out.len() > 3, "{name} has modules");
+    assert!(out.len() > 3, "too few modules found in {name}");
     out
 }
 
-/// Expands `a::{b, c::{d, e}}` into its paths.
-fn paths(text: &str) -> Vec<String> {
+/// Expands an import such as `a::{b, c::{d, e}}` into its single paths.
+fn expand_paths(text: &str) -> Vec<String> {
     let Some(open) = text.find('{') else { return vec![text.trim().to_string()] };
     let (head, rest) = (text[..open].trim(), &text[open + 1..]);
     let (mut depth, mut from, mut out) = (0, 0, vec![]);
@@ -60,7 +63,7 @@
             '{' => depth += 1,
             '}' if depth > 0 => depth -= 1,
             '}' | ',' if depth == 0 => {
-                out.extend(paths(&rest[from..i]).iter().map(|p| format!("{head}{p}")));
+                out.extend(expand_paths(&rest[from..i]).iter().map(|p| format!("{head}{p}")));
                 from = i + 1;
                 if c == '}' {
                     break;
@@ -72,8 +75,8 @@
     out
 }
 
-/// All paths below `crate::` and `super::` that a file names, as `a/b/c`.
-fn named(module: &str, code: &str) -> Vec<String> {
+/// Returns all paths below `crate::` and `super::` that a file uses, as `a/b/c`.
+fn named_paths(module: &str, code: &str) -> Vec<String> {
     let parent = module.rsplit_once('/').map_or("", |(p, _)| p);
     let mut out = vec![];
     for (prefix, base) in [("crate::", ""), ("super::", parent)] {
@@ -81,7 +84,7 @@
             let rest = &code[at + prefix.len()..];
             let import = code[..at].trim_end().ends_with("use");
             let found = if import {
-                paths(rest.split(';').next().unwrap_or_default())
+                expand_paths(rest.split(';').next().unwrap_or_default())
             } else {
                 let end = |c: char| !(c.is_alphanumeric() || c == '_' || c == ':');
                 vec![rest.split(end).next().unwrap_or_default().to_string()]
@@ -96,7 +99,7 @@
     out
 }
 
-/// The names of the methods that a file adds to `LeaderState`.
+/// Returns the names of the methods that a file adds to `LeaderState`.
 fn leader_state_methods(code: &str) -> BTreeSet<&str> {
     let mut out = BTreeSet::new();
     for part in code.split("\nimpl LeaderState {").skip(1) {
@@ -110,8 +113,9 @@
     out
 }
 
-/// Which file needs which: by what it names, and by methods of `LeaderState` that another one adds.
-fn edges(files: &BTreeMap<String, String>) -> BTreeMap<&str, BTreeSet<&str>> {
+/// Returns the files that each file depends on: those whose paths it uses, and those that define a method of
+/// `LeaderState` that it calls.
+fn dependency_edges(files: &BTreeMap<String, String>) -> BTreeMap<&str, BTreeSet<&str>> {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for (module, code) in files {
         owners.extend(leader_state_methods(code).into_iter().map(|m| (m, module.as_str())));
@@ -119,7 +123,7 @@
     let mut out: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     for (module, code) in files {
         let to = out.entry(module).or_default();
-        for mut path in named(module, code) {
+        for mut path in named_paths(module, code) {
             loop {
                 if let Some((known, _)) = files.get_key_value(&path) {
                     to.insert(known);
@@ -148,7 +152,11 @@
     out
 }
 
-fn reach<'a>(edges: &BTreeMap<&'a str, BTreeSet<&'a str>>, from: &'a str) -> BTreeSet<&'a str> {
+/// Returns all files that `from` depends on, directly or indirectly.
+fn reachable_from<'a>(
+    edges: &BTreeMap<&'a str, BTreeSet<&'a str>>,
+    from: &'a str,
+) -> BTreeSet<&'a str> {
     let (mut seen, mut next) = (BTreeSet::new(), vec![from]);
     while let Some(at) = next.pop() {
         for to in edges.get(at).into_iter().flatten() {
@@ -160,14 +168,15 @@
     seen
 }
 
-/// Pairs of files of different slices that need each other.
-fn circles(files: &BTreeMap<String, String>) -> Vec<(String, String)> {
-    let edges = edges(files);
+/// Returns the pairs (A, B) of files of different slices where A depends directly on B, and B directly or
+/// indirectly on A.
+fn cross_slice_cycles(files: &BTreeMap<String, String>) -> Vec<(String, String)> {
+    let edges = dependency_edges(files);
     let slice = |m: &str| m.split('/').next().unwrap_or_default().to_string();
     let mut out = vec![];
     for (a, to) in &edges {
         for b in to.iter().filter(|b| slice(a) != slice(b)) {
-            if reach(&edges, b).contains(a) {
+            if reachable_from(&edges, b).contains(a) {
                 out.push((a.to_string(), b.to_string()));
             }
         }
@@ -176,18 +185,18 @@
 }
 
 #[test]
-fn no_circle_between_slices() {
+fn slices_have_no_cycles() {
     for name in ["wire", "fairness", "reach", "recovery", "rollout", "core", "controller"] {
         let mut files = modules(name);
-        // They wire the parts together.
+        // The crate roots use modules of all slices.
         files.remove("lib");
         files.remove("main");
-        assert_eq!(circles(&files), [], "{name}");
+        assert_eq!(cross_slice_cycles(&files), [], "{name}");
     }
 }
 
 #[test]
-fn a_circle_would_be_seen() {
+fn cycles_between_slices_are_detected() {
     let files = |list: &[(&str, &str)]| {
         list.iter().map(|(m, code)| (m.to_string(), code.to_string())).collect()
     };
@@ -205,18 +214,22 @@
         ),
     ];
     for (list, n) in cases {
-        assert_eq!(circles(&files(list)).len(), n, "{list:?}");
+        assert_eq!(cross_slice_cycles(&files(list)).len(), n, "{list:?}");
     }
 }
 
 #[test]
-fn files_and_impls_stay_small() {
+fn files_and_impls_stay_within_line_limits() {
     let mut files = vec![];
-    rust_files(&crates(), &mut files);
+    rust_files(&crates_dir(), &mut files);
     for file in files {
         let text = std::fs::read_to_string(&file).expect("readable");
         let lines = text.lines().count();
-        assert!(lines <= MOST_LINES, "{} has {lines} lines: split it by duty", file.display());
+        assert!(
+            lines <= MAX_FILE_LINES,
+            "{} has {lines} lines, more than {MAX_FILE_LINES}: split it by responsibility",
+            file.display()
+        );
         let mut from = None;
         for (n, line) in text.lines().enumerate() {
             if line.starts_with("impl") {
@@ -226,25 +239,33 @@
                 && let Some(from) = from.take()
             {
                 let n = n - from;
-                assert!(n <= MOST_IMPL, "{}: an impl of {n} lines", file.display());
+                assert!(
+                    n <= MAX_IMPL_LINES,
+                    "{}: an `impl` block of {n} lines, more than {MAX_IMPL_LINES}",
+                    file.display()
+                );
             }
         }
     }
 }
 
 #[test]
-fn crates_point_one_way() {
-    let barred = |krate: &str, names: &[&str]| {
-        let text = std::fs::read_to_string(crates().join(krate).join("Cargo.toml")).expect("there");
+fn crates_avoid_forbidden_dependencies() {
+    let assert_no_dependency = |crate_name: &str, names: &[&str]| {
+        let text = std::fs::read_to_string(crates_dir().join(crate_name).join("Cargo.toml"))
+            .expect("there");
         let deps = text.split("[dependencies]").nth(1).unwrap_or_default();
         let deps = deps.split("\n[").next().unwrap_or_default();
-        assert!(deps.contains("serde"), "{krate} has dependencies");
+        assert!(deps.contains("serde"), "no serde found among the dependencies of {crate_name}");
         for name in names {
-            assert!(!deps.lines().any(|l| l.starts_with(name)), "{krate} uses {name}");
+            assert!(!deps.lines().any(|l| l.starts_with(name)), "{crate_name} depends on {name}");
         }
     };
-    barred("core", &["tokio", "hyper", "poem", "rand", "copperhaven.", "copperhaven ="]);
-    barred("rollout", &["tokio", "hyper", "poem", "copperhaven"]);
-    barred("recovery", &["tokio", "hyper", "poem", "copperhaven"]);
-    barred("wire", &["tokio", "hyper", "poem", "rand", "tracing", "copperhaven"]);
+    assert_no_dependency(
+        "core",
+        &["tokio", "hyper", "poem", "rand", "copperhaven.", "copperhaven ="],
+    );
+    assert_no_dependency("rollout", &["tokio", "hyper", "poem", "copperhaven"]);
+    assert_no_dependency("recovery", &["tokio", "hyper", "poem", "copperhaven"]);
+    assert_no_dependency("wire", &["tokio", "hyper", "poem", "rand", "tracing", "copperhaven"]);
 }
--- a/crates/controller/tests/command.rs
+++ b/crates/controller/tests/command.rs
@@ -1,28 +1,33 @@
-//! The command as operators call it: subcommands, exit codes, and the samples under `deploy/`.
+//! Tests of the `copperhaven` command: subcommands, exit codes, log formats, and the sample settings
+//! under `deploy/`.
 
 use copperhaven_core::settings::{Tuning, load};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn deploy(file: &str) -> PathBuf {
+/// Returns the path of a file under `deploy/`.
+fn deploy_file(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(file)
 }
 
-fn call(args: &[&str]) -> (i32, String, String) {
+/// Runs the command to its end; returns the exit code (-1 if a signal ended it), standard output and
+/// standard error.
+fn run_command(args: &[&str]) -> (i32, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_copperhaven"));
     let Output { status, stdout, stderr } =
-        command.args(args).env_remove("COPPERHAVEN_TUNING").output().expect("it runs");
+        command.args(args).env_remove("COPPERHAVEN_TUNING").output().expect("the command starts");
     let text = |b: Vec<u8>| String::from_utf8_lossy(&b).into_owned();
     (status.code().unwrap_or(-1), text(stdout), text(stderr))
 }
 
 #[test]
-fn the_samples_are_valid_and_tell_the_defaults() {
-    let settings = load(&deploy("sample-platform.toml"), Some(&deploy("sample-operators.yaml")));
-    let settings = settings.expect("valid");
+fn samples_are_valid_and_show_every_default() {
+    let settings =
+        load(&deploy_file("sample-platform.toml"), Some(&deploy_file("sample-operators.yaml")));
+    let settings = settings.expect("valid sample settings");
     assert_eq!(format!("{:?}", settings.tuning), format!("{:?}", Tuning::default()));
-    // Every key of the operators' settings stands in the sample.
-    let text = std::fs::read_to_string(deploy("sample-operators.yaml")).expect("there");
+    // The sample lists every key of the operators' settings.
+    let text = std::fs::read_to_string(deploy_file("sample-operators.yaml")).expect("there");
     let shown = format!("{:?}", Tuning::default());
     for field in shown.trim_start_matches("Tuning { ").trim_end_matches(" }").split(", ") {
         let key = field.split(':').next().unwrap_or_default();
@@ -31,16 +36,16 @@
 }
 
 #[test]
-fn each_call_says_what_it_does_by_exit_code_and_words() {
-    let platform = deploy("sample-platform.toml").display().to_string();
-    let operators = deploy("sample-operators.yaml").display().to_string();
-    let ok = "settings of controller-0 are valid\n";
-    // (arguments, exit code, in standard output, in standard error)
+fn calls_report_results_by_exit_code_and_output() {
+    let platform = deploy_file("sample-platform.toml").display().to_string();
+    let operators = deploy_file("sample-operators.yaml").display().to_string();
+    let valid = "settings of controller-0 are valid\n";
+    // (arguments, exit code, text in standard output, text in standard error)
     let cases: [(&[&str], i32, &str, &str); 17] = [
-        (&["check", "--config", &platform], 0, ok, ""),
-        (&["check", "--config", &platform, "--tuning", &operators], 0, ok, ""),
-        (&["--config", &platform, "--check"], 0, ok, ""),
-        (&["--config", &platform, "--tuning", &operators, "--check"], 0, ok, ""),
+        (&["check", "--config", &platform], 0, valid, ""),
+        (&["check", "--config", &platform, "--tuning", &operators], 0, valid, ""),
+        (&["--config", &platform, "--check"], 0, valid, ""),
+        (&["--config", &platform, "--tuning", &operators, "--check"], 0, valid, ""),
         (&["check", "--config", "nowhere.toml"], 2, "", "nowhere.toml"),
         (&["check", "--config", &platform, "--tuning", &platform], 2, "", "sample-platform.toml"),
         (&["check"], 2, "", "--config"),
@@ -55,19 +60,23 @@
         (&["job", "job-1", "--server", "127.0.0.1:1"], 2, "", "is no job id"),
         (&["job", "wk-1", "--server", "127.0.0.1:1"], 4, "", "no answer from 127.0.0.1:1"),
     ];
-    for (args, code, out, err) in cases {
-        let (got, stdout, stderr) = call(args);
-        assert_eq!(got, code, "{args:?}: {stdout}{stderr}");
-        assert!(stdout.contains(out) && stderr.contains(err), "{args:?}: {stdout}{stderr}");
+    for (args, exit_code, in_stdout, in_stderr) in cases {
+        let (got_code, stdout, stderr) = run_command(args);
+        assert_eq!(got_code, exit_code, "{args:?}: {stdout}{stderr}");
+        assert!(
+            stdout.contains(in_stdout) && stderr.contains(in_stderr),
+            "{args:?}: {stdout}{stderr}"
+        );
     }
 }
 
-/// Runs a controller with nothing to talk to until it has said something; the first lines.
-fn serve(args: &[&str], port: u16) -> Vec<String> {
+/// Runs a controller with no other services running, until it has logged its first line; returns that line.
+/// Its settings are the sample's, with `port` for the API endpoint; "FILE" in `args` stands for their path.
+fn first_log_lines(args: &[&str], port: u16) -> Vec<String> {
     let dir = std::env::temp_dir().join(format!("copperhaven-{}-{port}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let file = dir.join("platform.toml");
-    let text = std::fs::read_to_string(deploy("sample-platform.toml")).expect("there");
+    let text = std::fs::read_to_string(deploy_file("sample-platform.toml")).expect("there");
     let text = text.replace("127.0.0.1:8080", &format!("127.0.0.1:{port}"));
     std::fs::write(&file, text.replace("127.0.0.1:8090", "127.0.0.1:0")).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_copperhaven"));
@@ -78,10 +87,10 @@
         .env("LOG_LEVEL", "warn")
         .stderr(std::process::Stdio::piped())
         .spawn()
-        .expect("it runs");
+        .expect("the controller starts");
     let mut lines = vec![];
-    let err = std::io::BufReader::new(child.stderr.take().expect("piped"));
-    for line in std::io::BufRead::lines(err).map_while(Result::ok).take(1) {
+    let stderr = std::io::BufReader::new(child.stderr.take().expect("piped"));
+    for line in std::io::BufRead::lines(stderr).map_while(Result::ok).take(1) {
         lines.push(line);
     }
     child.kill().expect("still running");
@@ -92,19 +101,19 @@
 
 #[test]
 fn log_lines_are_text_or_json() {
-    // Nobody listens where its state service should be.
+    // Nothing listens at the sample's address of the state service, so the first line is a warning.
     let port = || {
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         free.local_addr().expect("bound").port()
     };
-    let word = "the state service is out of reach";
+    let message = "the state service is out of reach";
     for args in [&["--config", "FILE"][..], &["serve", "--config", "FILE"]] {
-        let lines = serve(args, port());
-        assert!(lines[0].trim_start().starts_with(&format!("WARN {word}")), "{lines:?}");
+        let lines = first_log_lines(args, port());
+        assert!(lines[0].trim_start().starts_with(&format!("WARN {message}")), "{lines:?}");
     }
-    let lines = serve(&["serve", "--config", "FILE", "--log-format", "json"], port());
+    let lines = first_log_lines(&["serve", "--config", "FILE", "--log-format", "json"], port());
     let line: serde_json::Value = serde_json::from_str(&lines[0]).expect("JSON");
     assert_eq!(line["level"], "WARN");
-    assert!(line["message"].as_str().is_some_and(|m| m.starts_with(word)), "{line}");
+    assert!(line["message"].as_str().is_some_and(|m| m.starts_with(message)), "{line}");
     assert!(line["timestamp"].is_string());
 }
