--- a/crates/core/benches/leader.rs
+++ b/crates/core/benches/leader.rs
@@ -1,8 +1,10 @@
-//! What the leader's steps cost by size: `cargo bench -p copperhaven-core --features testing --bench leader`. The
-//! table is in docs/results.md.
+//! Measures the time of single steps of the leader by fleet size:
 //!
-//! Machines of 32 CPUs, all full of running tasks; as many open jobs as machines, gangs and arrays in turn,
-//! that wait. One core; no state service, no sockets.
+//!     cargo bench -p copperhaven-core --features testing --bench leader
+//!
+//! All machines have 32 CPUs and are fully occupied by running tasks; as many jobs as there are machines wait,
+//! gangs and arrays in turn. The benchmark uses one core, and neither a state service nor sockets. Results are
+//! in docs/results.md.
 
 use copperhaven_core::admission::feasibility::resolve_spec;
 use copperhaven_core::for_tests::{
@@ -22,50 +24,58 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The array whose tasks run everywhere.
-const BUSY: &str = "wk-900000";
+/// Id of the array whose tasks occupy all machines.
+const BACKGROUND_JOB: &str = "wk-900000";
 
-/// A job of its kind by number: a gang, an array of small tasks, an array of middling ones.
+/// Returns the body of waiting job `n`: by turns a gang, an array of one-CPU tasks and an array of four-CPU
+/// tasks.
 fn job(n: usize) -> JobBody {
-    let mut b = body(&format!("wk-{n:06}"));
-    b.team = ["red", "blue"][n % 2].into();
-    (b.machine_types, b.deadline_s, b.spot) = (None, None, true);
-    b.image = format!("img-{}", n % 50);
-    let (shape, precedence, parcels, cpus, mem) = match n % 3 {
+    let mut body = body(&format!("wk-{n:06}"));
+    body.team = ["red", "blue"][n % 2].into();
+    (body.machine_types, body.deadline_s, body.spot) = (None, None, true);
+    body.image = format!("img-{}", n % 50);
+    let (kind, priority, tasks, cpus, mem_gb) = match n % 3 {
         0 => (JobKind::Gang, Priority::Normal, [1, 2, 6][n / 3 % 3], 30.0, 51.0),
         1 => (JobKind::Array, Priority::Low, 100, 1.0, 1.7),
         _ => (JobKind::Array, Priority::Low, 60, 4.0, 6.1),
     };
-    (b.kind, b.priority, b.tasks, b.cpus, b.mem_gb) = (shape, precedence, parcels, cpus, mem);
-    b
+    (body.kind, body.priority, body.tasks, body.cpus, body.mem_gb) =
+        (kind, priority, tasks, cpus, mem_gb);
+    body
 }
 
-fn busy(machines: usize) -> JobBody {
-    // Nothing is stopped for those who wait: that is not what one change costs.
-    let precedence = Priority::High;
-    JobBody { uid: BUSY.into(), tasks: machines as u64 * 8, priority: precedence, ..job(2) }
+/// Returns the body of the array that occupies all machines, eight tasks on each.
+fn background_job(machines: usize) -> JobBody {
+    // High priority, so that waiting jobs preempt none of its tasks: preemption is not part of the cost of
+    // one change.
+    let priority = Priority::High;
+    JobBody { uid: BACKGROUND_JOB.into(), tasks: machines as u64 * 8, priority, ..job(2) }
 }
 
+/// Returns the id of machine `i`.
 fn name(i: usize) -> String {
     format!("n-{i:06}")
 }
 
+/// Returns the address of machine `i`.
 fn addr(i: usize) -> String {
     format!("10.{}.{}.1:9", i / 250, i % 250)
 }
 
-fn told(i: usize, tally: u64, parcels: Vec<TaskReport>) -> Report {
-    let berth = "large".into();
+/// Returns the report of machine `i` with these tasks.
+fn report_from(i: usize, sequence: u64, tasks: Vec<TaskReport>) -> Report {
+    let machine_type = "large".into();
     Report {
         machine: name(i),
         addr: addr(i),
-        machine_type: berth,
-        tasks: parcels,
-        ..report(1, tally, TERM, &[])
+        machine_type,
+        tasks,
+        ..report(1, sequence, TERM, &[])
     }
 }
 
-fn empty(machines: usize) -> LeaderState {
+/// Returns a leader state without jobs, with two teams whose limits are in proportion to `machines`.
+fn leader_without_jobs(machines: usize) -> LeaderState {
     let cpus = machines as f64 * 32.0;
     let team = |name: &str| {
         format!(r#"{{ name = "{name}", cpus = {:.1}, cpus_max = {:.1} }}"#, cpus * 0.4, cpus * 2.0)
@@ -74,87 +84,92 @@
     let settings = Arc::new(sample_settings_with(&[(TEAMS_LINE, &teams)]));
     let mut names = Names::new(&settings);
     names.types.intern("large");
-    let flavors =
+    let machine_types =
         vec![MachineType::from_wire(&large_machine_type(&["north", "south"]), &mut names)];
-    let leader = Condition { path: "c/leader".into(), revision: 5 };
-    let mut c = LeaderState::new(settings, TERM, leader, START_MS, names, flavors);
-    c.fleet.provided_machines = Some(0);
-    c
+    let leader_key = Condition { path: "c/leader".into(), revision: 5 };
+    let mut leader = LeaderState::new(settings, TERM, leader_key, START_MS, names, machine_types);
+    leader.fleet.provided_machines = Some(0);
+    leader
 }
 
-fn insert(c: &mut LeaderState, b: JobBody) -> JobId {
-    let (settings, flavors) = (c.settings.clone(), c.machine_types.clone());
-    let spec = resolve_spec(&b, &mut c.names, &flavors, &settings).expect("valid");
-    let id = c.insert_job(spec, b, START_MS, START_MS as i64);
-    let ver = c.mark_dirty(RecordKey::Job(id));
-    if let Some(job) = c.jobs.get_mut(&id) {
-        job.accept_ver = ver;
+/// Adds a job to the queue and marks its record dirty.
+fn insert_job(leader: &mut LeaderState, body: JobBody) -> JobId {
+    let (settings, machine_types) = (leader.settings.clone(), leader.machine_types.clone());
+    let spec = resolve_spec(&body, &mut leader.names, &machine_types, &settings).expect("valid");
+    let id = leader.insert_job(spec, body, START_MS, START_MS as i64);
+    let version = leader.mark_dirty(RecordKey::Job(id));
+    if let Some(job) = leader.jobs.get_mut(&id) {
+        job.accept_ver = version;
     }
     id
 }
 
-fn saved(c: &mut LeaderState) {
-    while let Some(batch) = c.next_batch(500) {
-        c.on_applied(&batch, 9);
+/// Marks all pending record changes as applied by the state service.
+fn apply_all_changes(leader: &mut LeaderState) {
+    while let Some(batch) = leader.next_batch(500) {
+        leader.on_applied(&batch, 9);
     }
 }
 
-/// All machines have eight tasks of four CPUs; so many jobs wait.
-fn full(machines: usize, jobs: usize) -> LeaderState {
-    let mut c = empty(machines);
-    let id = insert(&mut c, busy(machines));
+/// Returns a leader state where every machine runs eight tasks of four CPUs and `jobs` jobs wait.
+fn leader_at_full_load(machines: usize, jobs: usize) -> LeaderState {
+    let mut leader = leader_without_jobs(machines);
+    let id = insert_job(&mut leader, background_job(machines));
     for i in 0..machines {
-        let ReportOutcome::Answer(mid) = c.on_report(&told(i, 1, vec![]), START_MS) else {
-            panic!("taken")
+        let ReportOutcome::Answer(machine) = leader.on_report(&report_from(i, 1, vec![]), START_MS)
+        else {
+            panic!("report not accepted")
         };
-        let attempt = c.new_attempt();
-        (0..8).for_each(|t| c.assign(mid, id, (i * 8 + t) as u32, attempt, START_MS));
+        let attempt = leader.new_attempt();
+        (0..8).for_each(|t| leader.assign(machine, id, (i * 8 + t) as u32, attempt, START_MS));
     }
     (0..jobs).for_each(|n| {
-        insert(&mut c, job(n));
+        insert_job(&mut leader, job(n));
     });
-    saved(&mut c);
+    apply_all_changes(&mut leader);
     for i in 0..machines {
-        let r = running(&c, i, 2);
-        c.on_report(&r, START_MS + 1);
+        let report = report_all_running(&leader, i, 2);
+        leader.on_report(&report, START_MS + 1);
     }
-    c.run_placement_pass(START_MS + 2);
-    saved(&mut c);
-    c
+    leader.run_placement_pass(START_MS + 2);
+    apply_all_changes(&mut leader);
+    leader
 }
 
-/// What its list has is running there.
-fn running(c: &LeaderState, i: usize, tally: u64) -> Report {
-    let m = c.machines.id_of(&name(i)).and_then(|mid| c.machines.get(&mid)).expect("there");
-    let parcels = m.assignments.iter().map(|((id, t), e)| TaskReport {
-        task_id: c.task_id(*id, *t),
-        attempt: e.attempt,
+/// Returns the report of machine `i` in which all tasks assigned to it are running.
+fn report_all_running(leader: &LeaderState, i: usize, sequence: u64) -> Report {
+    let machine =
+        leader.machines.id_of(&name(i)).and_then(|id| leader.machines.get(&id)).expect("there");
+    let tasks = machine.assignments.iter().map(|((id, task), assignment)| TaskReport {
+        task_id: leader.task_id(*id, *task),
+        attempt: assignment.attempt,
         status: "running".into(),
         cause: None,
         kept: false,
     });
-    told(i, tally, parcels.collect())
+    report_from(i, sequence, tasks.collect())
 }
 
-/// Time of `step` alone, over `n` rounds, each after `before`.
-fn timed<T>(
+/// Returns the total time of `n` calls of `step`; the call of `before` that prepares each isn't counted.
+fn time_steps<T>(
     n: u64,
-    c: &mut LeaderState,
+    leader: &mut LeaderState,
     mut before: impl FnMut(&mut LeaderState, u64) -> T,
     mut step: impl FnMut(&mut LeaderState, T),
 ) -> Duration {
-    let mut sum = Duration::ZERO;
+    let mut total = Duration::ZERO;
     for round in 0..n {
-        let input = before(c, round);
-        let begin = Instant::now();
-        step(c, input);
-        sum += begin.elapsed();
+        let input = before(leader, round);
+        let started = Instant::now();
+        step(leader, input);
+        total += started.elapsed();
     }
-    sum
+    total
 }
 
-/// As many jobs as machines, and eight tasks on each.
-fn records(size: usize) -> Records {
+/// Returns the records of `size` machines with eight tasks each, of as many waiting jobs, and of the array
+/// that those tasks belong to.
+fn recorded_state(size: usize) -> Records {
     let record = |job: JobBody| {
         let path = format!("j/{}", job.uid);
         (
@@ -169,92 +184,93 @@
             7,
         )
     };
-    let jobs = (0..size).map(job).chain([busy(size)]).map(record).collect();
+    let jobs = (0..size).map(job).chain([background_job(size)]).map(record).collect();
     let machine = |i: usize| {
-        let on = vec![AssignmentRecord {
-            job: BUSY.into(),
+        let assignments = vec![AssignmentRecord {
+            job: BACKGROUND_JOB.into(),
             attempt: 9,
             task_ranges: vec![i as u32 * 8, 8],
         }];
-        let (berth, yard) = ("large".into(), "north".into());
-        let r = MachineRecord {
+        let (machine_type, zone) = ("large".into(), "north".into());
+        let record = MachineRecord {
             addr: addr(i),
-            machine_type: berth,
-            zone: yard,
+            machine_type,
+            zone,
             spot: false,
             session: 1,
-            assignments: on,
+            assignments,
         };
-        (format!("m/{}", name(i)), r, 7)
+        (format!("m/{}", name(i)), record, 7)
     };
     Records { jobs, machines: (0..size).map(machine).collect(), ..Records::default() }
 }
 
-fn steps(criterion: &mut Criterion) {
+fn bench_steps(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("leader");
     group.sample_size(10).warm_up_time(Duration::from_millis(200));
     group.measurement_time(Duration::from_secs(1));
     for size in [100, 1_000, 10_000] {
-        let mut c = full(size, size);
-        let (mut tally, mut now, mut more) = (10u64, START_MS + 1_000, 0);
-        // One task is done; the pass finds its place for another.
+        let mut leader = leader_at_full_load(size, size);
+        let (mut sequence, mut now, mut added_jobs) = (10u64, START_MS + 1_000, 0);
+        // One task has ended; the pass places another in the capacity that it freed.
         group.bench_function(BenchmarkId::new("a pass after one change", size), |b| {
             b.iter_custom(|n| {
-                let before = |c: &mut LeaderState, round: u64| {
-                    (tally, now) = (tally + 1, now + 60);
-                    let mut r = running(c, (round as usize * 7) % size, tally);
-                    if let Some(p) = r.tasks.first_mut() {
-                        (p.status, p.cause) = ("ended".into(), Some("done".into()));
+                let before = |leader: &mut LeaderState, round: u64| {
+                    (sequence, now) = (sequence + 1, now + 60);
+                    let mut report =
+                        report_all_running(leader, (round as usize * 7) % size, sequence);
+                    if let Some(task) = report.tasks.first_mut() {
+                        (task.status, task.cause) = ("ended".into(), Some("done".into()));
                     }
-                    c.on_report(&r, now);
-                    c.machines.values_mut().for_each(|m| m.last_report_at = now);
-                    saved(c);
+                    leader.on_report(&report, now);
+                    leader.machines.values_mut().for_each(|m| m.last_report_at = now);
+                    apply_all_changes(leader);
                     now
                 };
-                timed(n, &mut c, before, |c, now| c.run_placement_pass(now))
+                time_steps(n, &mut leader, before, |leader, now| leader.run_placement_pass(now))
             });
         });
         group.bench_function(BenchmarkId::new("a report", size), |b| {
             b.iter_custom(|n| {
-                let before = |c: &mut LeaderState, round: u64| {
-                    tally += 1;
-                    running(c, (round as usize * 11) % size, tally)
+                let before = |leader: &mut LeaderState, round: u64| {
+                    sequence += 1;
+                    report_all_running(leader, (round as usize * 11) % size, sequence)
                 };
-                timed(n, &mut c, before, |c, r| {
-                    c.on_report(&r, now);
+                time_steps(n, &mut leader, before, |leader, report| {
+                    leader.on_report(&report, now);
                 })
             });
         });
         group.bench_function(BenchmarkId::new("a submission", size), |b| {
             b.iter_custom(|n| {
                 let before = |_: &mut LeaderState, _| {
-                    more += 1;
-                    job(500_000 + more)
+                    added_jobs += 1;
+                    job(500_000 + added_jobs)
                 };
-                timed(n, &mut c, before, |c, body| {
-                    let id = insert(c, body);
-                    let spec = c.jobs[&id].spec.clone();
-                    let _ = black_box(c.admit(&spec, now));
+                time_steps(n, &mut leader, before, |leader, body| {
+                    let id = insert_job(leader, body);
+                    let spec = leader.jobs[&id].spec.clone();
+                    let _ = black_box(leader.admit(&spec, now));
                 })
             });
         });
-        let c = full(size, size);
+        let leader = leader_at_full_load(size, size);
         group.bench_function(BenchmarkId::new("a plan of rentals", size), |b| {
-            b.iter(|| black_box(c.rental_demand(START_MS + 500)));
+            b.iter(|| black_box(leader.rental_demand(START_MS + 500)));
         });
         group.bench_function(BenchmarkId::new("a rebuild", size), |b| {
             b.iter_custom(|n| {
-                let once = |_| {
-                    let (read, mut c) = (records(size), empty(size));
-                    let begin = Instant::now();
-                    rebuild(&mut c, read, START_MS, 1_000_000);
-                    begin.elapsed()
+                let rebuild_once = |_| {
+                    let (read, mut leader) = (recorded_state(size), leader_without_jobs(size));
+                    let started = Instant::now();
+                    rebuild(&mut leader, read, START_MS, 1_000_000);
+                    started.elapsed()
                 };
-                (0..n).map(once).sum()
+                (0..n).map(rebuild_once).sum()
             });
         });
     }
 }
 
-criterion_group!(benches, steps);
+criterion_group!(benches, bench_steps);
 criterion_main!(benches);
--- a/crates/core/examples/memory.rs
+++ b/crates/core/examples/memory.rs
@@ -1,31 +1,33 @@
-//! What open jobs take of a leader's memory, by size of job:
+//! Measures the memory that open jobs take in a leader, by number of tasks:
 //!
 //!     cargo run --release -p copperhaven-core --features testing --example memory
 //!
-//! One row a size; each row takes in so many jobs that they hold two million tasks, and reads the
-//! process's resident memory before and after (Linux).
+//! Each size gives one row: it adds jobs until they hold two million tasks, or 20,000 jobs, and reads the
+//! process's resident memory before and after. Works on Linux only.
 
 use copperhaven_core::for_tests;
 use copperhaven_core::state::leader_state::LeaderState;
 
+/// Returns the resident memory of this process in KiB, 0 if it can't be read.
 fn resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn fill(cell: &mut LeaderState, jobs: usize, tasks: u64) {
+/// Adds `jobs` jobs of `tasks` tasks each.
+fn add_jobs(leader: &mut LeaderState, jobs: usize, tasks: u64) {
     for n in 0..jobs {
         let uid = format!("wk-{n}");
-        let id = for_tests::add_job(cell, &uid, |_| ());
-        // The sample job has three tasks: it is taken out again and put in with as many as asked for.
-        let body = cell.jobs.get(&id).map(|j| (*j.body).clone());
-        let spec = cell.jobs.get(&id).map(|j| (*j.spec).clone());
-        cell.jobs.remove(&id);
+        let id = for_tests::add_job(leader, &uid, |_| ());
+        // The sample job has three tasks: it is removed and inserted again with `tasks` of them.
+        let body = leader.jobs.get(&id).map(|j| (*j.body).clone());
+        let spec = leader.jobs.get(&id).map(|j| (*j.spec).clone());
+        leader.jobs.remove(&id);
         if let (Some(mut body), Some(mut spec)) = (body, spec) {
             body.tasks = tasks;
             spec.tasks = tasks as u32;
-            cell.insert_job(spec, body, 1, 1);
+            leader.insert_job(spec, body, 1, 1);
         }
     }
 }
@@ -36,12 +38,13 @@
     for tasks in [1, 10, 100, 1_000, 10_000, 100_000] {
         let jobs = (2_000_000 / tasks).min(20_000) as usize;
         let before = resident_kb();
-        let mut cell = for_tests::cell();
-        fill(&mut cell, jobs, tasks);
+        let mut leader = for_tests::cell();
+        add_jobs(&mut leader, jobs, tasks);
         let kb = resident_kb().saturating_sub(before) as f64;
-        let (each, task) = (kb / jobs as f64, kb * 1024.0 / (jobs as f64 * tasks as f64));
-        println!("| {tasks} | {jobs} | {each:.1} | {task:.1} |");
-        // Not given back to the system: the next row starts on fresh pages.
-        std::mem::forget(cell);
+        let (kb_per_job, bytes_per_task) =
+            (kb / jobs as f64, kb * 1024.0 / (jobs as f64 * tasks as f64));
+        println!("| {tasks} | {jobs} | {kb_per_job:.1} | {bytes_per_task:.1} |");
+        // Leaked, so that the next row can't reuse its pages and starts on fresh ones.
+        std::mem::forget(leader);
     }
 }
