--- a/crates/core/tests/failures/users.rs
+++ b/crates/core/tests/failures/users.rs
@@ -1,4 +1,4 @@
-//! Users who submit, ask and cancel.
+//! Users who submit and cancel jobs.
 
 use crate::world::*;
 use copperhaven_core::admission::feasibility::resolve_spec;
@@ -10,10 +10,11 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl World {
-    pub fn users(&mut self) {
+    /// Draws the submissions and cancellations of one step.
+    pub fn run_users(&mut self) {
         let now = self.now;
-        let well = |l: &Leader| now < l.renewed + 2500 && now >= l.still_until;
-        let Some(k) = self.leaders.iter().rposition(well) else { return };
+        let is_able_to_lead = |l: &Leader| now < l.renewed_at + 2500 && now >= l.paused_until;
+        let Some(k) = self.leaders.iter().rposition(is_able_to_lead) else { return };
         if self.chance(0.02) && self.submitted.len() < 30 {
             let n = self.submitted.len();
             let gang = self.chance(0.25);
@@ -33,102 +34,114 @@
                 deadline_s: None,
                 ..body(&format!("wk-{n:06}"))
             };
-            // Pipelines: it names jobs that were accepted, in any state.
-            let named: BTreeSet<String> =
-                if self.chance(0.5) && now + NEW >= self.falls && self.all_new(k) {
-                    let n = self.rng.random_range(1..4);
-                    let all: Vec<&String> = self.accepted.iter().collect();
-                    let pick = (0..n).filter(|_| !all.is_empty()).map(|_| {
-                        let recent = self.rng.random_bool(0.5);
-                        let last = if recent { all.len().min(6) } else { all.len() };
-                        all[all.len() - 1 - self.rng.random_range(0..last)].clone()
-                    });
-                    pick.collect()
-                } else {
-                    BTreeSet::new()
-                };
-            let named: Vec<String> = named.into_iter().collect();
-            let read = self.read(&named);
-            let cell = &mut self.leaders[k].cell;
-            let named = match cell.check_dependencies(&named, &read) {
-                DependencyCheck::Open(open) => Some((named, (open, false))),
-                DependencyCheck::Cancelled => Some((named, (vec![], true))),
+            // Pipelines: the job depends on accepted jobs in any state.
+            let depends_on: BTreeSet<String> = if self.chance(0.5)
+                && now + LIMITS_NOTICE_MS >= self.limits_fall_at
+                && self.all_upgraded(k)
+            {
+                let n = self.rng.random_range(1..4);
+                let all: Vec<&String> = self.accepted.iter().collect();
+                let pick = (0..n).filter(|_| !all.is_empty()).map(|_| {
+                    let recent = self.rng.random_bool(0.5);
+                    let last = if recent { all.len().min(6) } else { all.len() };
+                    all[all.len() - 1 - self.rng.random_range(0..last)].clone()
+                });
+                pick.collect()
+            } else {
+                BTreeSet::new()
+            };
+            let depends_on: Vec<String> = depends_on.into_iter().collect();
+            let states = self.read_dependencies(&depends_on);
+            let leader = &mut self.leaders[k].state;
+            let depends_on = match leader.check_dependencies(&depends_on, &states) {
+                DependencyCheck::Open(open) => Some((depends_on, (open, false))),
+                DependencyCheck::Cancelled => Some((depends_on, (vec![], true))),
                 DependencyCheck::RetryLater => None,
-                other => panic!("{} on {named:?}: {other:?}", body.uid),
+                other => panic!("{} on {depends_on:?}: {other:?}", body.uid),
             };
-            if let Some((named, names)) = named {
-                let (settings, flavors) = (cell.settings.clone(), cell.machine_types.clone());
-                let spec = resolve_spec(&body, &mut cell.names, &flavors, &settings);
-                cell.add_submitted_job(spec.expect("valid"), body.clone(), names, now, now);
-                body.depends_on = Some(named);
+            if let Some((depends_on, dependencies)) = depends_on {
+                let (settings, machine_types) =
+                    (leader.settings.clone(), leader.machine_types.clone());
+                let spec = resolve_spec(&body, &mut leader.names, &machine_types, &settings);
+                leader.add_submitted_job(
+                    spec.expect("valid"),
+                    body.clone(),
+                    dependencies,
+                    now,
+                    now,
+                );
+                body.depends_on = Some(depends_on);
                 self.submitted.insert(body.uid.clone(), body);
             }
         }
-        // A submission is repeated, long after its job was over too: a leader that has not heard
-        // of it takes it for new, until its record is to be written.
+        // A submission is repeated, possibly long after its job finished: a leader that does not know
+        // the job accepts it as new until its record is written.
         if self.chance(0.01) && !self.submitted.is_empty() {
             let n = self.rng.random_range(0..self.submitted.len());
             let mut body = self.submitted[&format!("wk-{n:06}")].clone();
-            let named = body.depends_on.take().unwrap_or_default();
-            let read = self.read(&named);
-            let cell = &mut self.leaders[k].cell;
-            let known = cell.jobs.contains_name(body.uid.as_str())
-                || cell.final_records.contains(body.uid.as_str())
-                || cell.unreadable.job_reason(&body.uid).is_some();
-            let names = match cell.check_dependencies(&named, &read) {
+            let depends_on = body.depends_on.take().unwrap_or_default();
+            let states = self.read_dependencies(&depends_on);
+            let leader = &mut self.leaders[k].state;
+            let known = leader.jobs.contains_name(body.uid.as_str())
+                || leader.final_records.contains(body.uid.as_str())
+                || leader.unreadable.job_reason(&body.uid).is_some();
+            let dependencies = match leader.check_dependencies(&depends_on, &states) {
                 DependencyCheck::Open(open) => Some((open, false)),
                 DependencyCheck::Cancelled => Some((vec![], true)),
                 _ => None,
             };
-            if let Some(names) = names.filter(|_| !known) {
-                let (settings, flavors) = (cell.settings.clone(), cell.machine_types.clone());
-                let spec = resolve_spec(&body, &mut cell.names, &flavors, &settings);
-                cell.add_submitted_job(spec.expect("valid"), body, names, now, now);
+            if let Some(dependencies) = dependencies.filter(|_| !known) {
+                let (settings, machine_types) =
+                    (leader.settings.clone(), leader.machine_types.clone());
+                let spec = resolve_spec(&body, &mut leader.names, &machine_types, &settings);
+                leader.add_submitted_job(spec.expect("valid"), body, dependencies, now, now);
             }
         }
-        // Cancellations are common while an earlier leader holds machines that don't hear of this one, most of all at
-        // once: those have the longest to wait.
-        let parted = self.loyal.values().any(|term| *term < self.leaders[k].term);
-        let at_once = parted && now < self.leaders[k].cell.took_over_at + 3_000;
-        let often = if at_once {
+        // Cancellations are common while an earlier leader keeps workers from this one, most of all
+        // right after the takeover: those have the longest to wait.
+        let split = self.old_leader_workers.values().any(|term| *term < self.leaders[k].term);
+        let after_takeover = split && now < self.leaders[k].state.took_over_at + 3_000;
+        let probability = if after_takeover {
             0.1
-        } else if parted {
+        } else if split {
             0.01
         } else {
             0.002
         };
-        if self.chance(often) && !self.submitted.is_empty() {
+        if self.chance(probability) && !self.submitted.is_empty() {
             let n = self.rng.random_range(0..self.submitted.len());
             let mut uid = format!("wk-{n:06}");
-            if at_once {
-                // One that such a machine runs.
-                let held = self.loyal.keys().flat_map(|i| &self.workers[*i].tasks);
-                let runs = held.filter(|(_, t)| t.cause.is_none());
+            if after_takeover {
+                // A job that runs on such a worker.
+                let on_old_workers =
+                    self.old_leader_workers.keys().flat_map(|i| &self.workers[*i].tasks);
+                let runs = on_old_workers.filter(|(_, t)| t.cause.is_none());
                 let all: Vec<&str> = runs.filter_map(|(p, _)| p.split('/').next()).collect();
                 uid = all.get(n % all.len().max(1)).map_or(uid, |uid| uid.to_string());
             }
-            let cell = &mut self.leaders[k].cell;
-            if let Some(id) = cell.jobs.id_of(uid.as_str()) {
-                cell.cancel(id, now);
-                self.parted += usize::from(parted && !self.asked_to_cancel.contains(&uid));
-                self.asked_to_cancel.insert(uid);
+            let leader = &mut self.leaders[k].state;
+            if let Some(id) = leader.jobs.id_of(uid.as_str()) {
+                leader.cancel(id, now);
+                self.cancelled_in_split +=
+                    usize::from(split && !self.cancel_requested.contains(&uid));
+                self.cancel_requested.insert(uid);
             }
         }
     }
 
-    /// Nothing new is asked of the service before all have the new version.
-    pub fn all_new(&self, k: usize) -> bool {
-        self.leaders[k].cell.settings.deployment.state.next.is_some()
+    /// Returns whether leader `k` has the new version; new features are used only once all have it.
+    pub fn all_upgraded(&self, k: usize) -> bool {
+        self.leaders[k].state.settings.deployment.state.next.is_some()
     }
 
-    /// What the records say of jobs that a submission names.
-    pub fn read(&self, named: &[String]) -> HashMap<String, DependencyState> {
-        let seen = |uid: &String| match self.store.get(&format!("f/{uid}")) {
+    /// Looks up the states of the jobs that a submission depends on.
+    pub fn read_dependencies(&self, depends_on: &[String]) -> HashMap<String, DependencyState> {
+        let state_of = |uid: &String| match self.store.get(&format!("f/{uid}")) {
             Some((Record::Final(f), _)) if f.done => DependencyState::Done,
             Some(_) => DependencyState::Cancelled,
             None if self.store.contains_key(&format!("j/{uid}")) => DependencyState::Open,
             None => DependencyState::NeverAccepted,
         };
-        named.iter().map(|uid| (uid.clone(), seen(uid))).collect()
+        depends_on.iter().map(|uid| (uid.clone(), state_of(uid))).collect()
     }
 }
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' state, and the store.
+//! State of the simulated components, and the simulated store.
 
 use copperhaven_core::for_tests::{OBJECTIVES_LINE, TEAMS_LINE, sample_settings_with};
 use copperhaven_core::records::{Change, Condition, Record};
@@ -14,116 +14,135 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const OWN_TEAMS: &str = r#"teams = [{ name = "red", cpus = 8.0, cpus_max = 12.0 }, { name = "blue", cpus = 4.0, cpus_max = 16.0 }]"#;
+const TEST_TEAMS: &str = r#"teams = [{ name = "red", cpus = 8.0, cpus_max = 12.0 }, { name = "blue", cpus = 4.0, cpus_max = 16.0 }]"#;
 const ZONES: (&str, &str) = (r#"zones = ["north", "south"]"#, r#"zones = ["n", "s"]"#);
-pub const STEP: u64 = 100;
+pub const STEP_MS: u64 = 100;
 
-/// Bytes of a value once the limits have fallen: a machine full of tasks of different jobs has no
-/// room in it, nor has a job with what it waits for.
-pub const LOW: usize = 500;
+/// Value limit once the limits have fallen: too short for a machine full of tasks of different
+/// jobs, and for a job with its dependencies.
+pub const LOWERED_VALUE_BYTES: usize = 500;
 
-/// The version that announces the limits keeps to them so long before.
-pub const NEW: u64 = 5_000;
+/// Leaders of the version that announces the lower limits keep to them this long before they fall.
+pub const LIMITS_NOTICE_MS: u64 = 5_000;
 
+/// Simulated worker.
 pub struct Worker {
     pub name: String,
     pub zone: &'static str,
     pub spot: bool,
-    pub token: u64,
-    pub shift: u64,
-    pub tally: u64,
-    /// Send time of the last answered report.
-    pub answered: u64,
-    pub next_report: u64,
-    /// Number and send time of the report in flight, and the leader it went to.
-    pub flight: Option<(u64, u64)>,
-    pub hangs_until: u64,
-    /// Until then its reports arrive, and neither answers nor commands reach it.
-    pub deaf_until: u64,
+    /// Highest term that it has acknowledged.
+    pub term: u64,
+    pub session: u64,
+    pub sequence: u64,
+    /// Send time of the last answered report; its lease runs from there.
+    pub answered_sent_at: u64,
+    pub next_report_at: u64,
+    /// Sequence and send time of the report in flight.
+    pub in_flight: Option<(u64, u64)>,
+    /// Until then it neither sends nor acts on messages.
+    pub hung_until: u64,
+    /// Until then its reports arrive, but neither responses nor direct orders reach it.
+    pub unresponsive_until: u64,
     pub tasks: BTreeMap<String, Task>,
 }
 
+/// Task on a simulated worker; `cause` is set once it has ended.
 #[derive(Clone)]
 pub struct Task {
     pub attempt: u64,
-    pub ends: u64,
+    pub ends_at: u64,
     pub cause: Option<&'static str>,
 }
 
+/// Message on the simulated network.
 pub enum Msg {
+    /// Worker, term of the receiving leader, report.
     Report(usize, u64, Report),
-    /// Another copy of a report, for whoever leads when it arrives.
-    Copy(usize, Report),
+    /// Late copy of a report, for the newest leader at its arrival.
+    ReportCopy(usize, Report),
+    /// Worker, term, session, sequence, orders.
     Response(usize, u64, u64, u64, Vec<Order>),
-    Command(usize, u64, u64, Vec<Order>),
+    /// Worker, term, session, orders.
+    DirectOrders(usize, u64, u64, Vec<Order>),
+    /// Term, transaction, whether its answer is lost.
     Commit(u64, Batch, bool),
-    /// A final record that a leader asked for, as it was then.
-    End(u64, String, Option<bool>),
+    /// Final record that a leader looked up, as of the lookup: term, job, whether the job completed.
+    Outcome(u64, String, Option<bool>),
 }
 
+/// Simulated controller that leads or still believes that it does.
 pub struct Leader {
     pub term: u64,
-    pub cell: LeaderState,
-    pub renewed: u64,
-    pub store: bool,
-    pub cut: BTreeSet<usize>,
-    /// Workers that it hears but that don't hear it: what it sends is swallowed, or held.
-    pub mute: BTreeSet<usize>,
-    /// Stands still until then: it hears, sends and renews nothing, and doesn't know it.
-    pub still_until: u64,
-    /// A transaction is on its way.
-    pub writing: bool,
-    pub waiting: Vec<(usize, (u64, u64), u64)>,
-    /// Records that it could not read.
-    pub bad: BTreeSet<String>,
+    pub state: LeaderState,
+    /// Last renewal of its lease; 0 once it knows that the lease is lost.
+    pub renewed_at: u64,
+    /// Whether it reaches the store.
+    pub store_reachable: bool,
+    /// Workers whose messages do not reach it, nor its messages them.
+    pub cut_off: BTreeSet<usize>,
+    /// Workers whose reports reach it while its messages to them are lost or held.
+    pub outbound_blocked: BTreeSet<usize>,
+    /// Paused until then: it receives, sends and renews nothing, and does not know it.
+    pub paused_until: u64,
+    /// Whether a transaction is in flight.
+    pub commit_in_flight: bool,
+    /// Responses not yet sent: worker, (session, sequence), sequence.
+    pub unanswered: Vec<(usize, (u64, u64), u64)>,
+    /// Records that it could not read at its takeover.
+    pub unreadable: BTreeSet<String>,
 }
 
+/// The whole simulation.
 pub struct World {
     pub rng: StdRng,
     pub settings: Arc<Settings>,
     pub now: u64,
     pub store: BTreeMap<String, (Record, u64)>,
-    pub rev: u64,
-    pub key: Option<(u64, u64, u64)>,
+    pub revision: u64,
+    /// Leader lease: term, revision, end.
+    pub leader_lease: Option<(u64, u64, u64)>,
     pub term: u64,
     pub workers: Vec<Worker>,
     pub leaders: Vec<Leader>,
-    /// Workers that report to the leader of this earlier term alone, as long as it is there; its successors don't reach
-    /// them.
-    pub loyal: BTreeMap<usize, u64>,
-    /// Does that happen in this schedule?
-    pub parts: bool,
-    /// Jobs that were cancelled meanwhile.
-    pub parted: usize,
-    /// The longest that a task was there after its user was told that its job is cancelled.
-    pub lingered: u64,
-    pub mail: Vec<(u64, Msg)>,
+    /// Workers that report only to the leader of this earlier term, as long as it exists, and are
+    /// unreachable for its successors.
+    pub old_leader_workers: BTreeMap<usize, u64>,
+    /// Whether this schedule splits workers in that way.
+    pub splits_leaders: bool,
+    /// Jobs that were cancelled during a split.
+    pub cancelled_in_split: usize,
+    /// Longest time that a task ran after its job was reported cancelled.
+    pub max_linger_ms: u64,
+    /// Messages in transit, with their delivery times.
+    pub messages: Vec<(u64, Msg)>,
     pub submitted: BTreeMap<String, JobBody>,
     pub accepted: BTreeSet<String>,
-    pub told_cancelled: BTreeMap<String, u64>,
-    pub told_done: BTreeSet<String>,
-    pub asked_to_cancel: BTreeSet<String>,
-    /// From then on the store takes less.
-    pub falls: u64,
-    /// In these terms lists of machines are written in packs.
-    pub packs: std::ops::Range<u64>,
-    /// Records that can't be read, until when.
-    /// Are records spoiled in this schedule?
-    pub spoils: bool,
-    pub spoiled: BTreeMap<String, u64>,
-    /// How often a leader found such records, and set tasks or jobs aside for them.
-    pub found: usize,
-    pub refused: usize,
-    /// Starts of tasks whose jobs had waited for others.
-    pub waited: usize,
-    pub finished: BTreeMap<String, BTreeSet<u32>>,
+    pub reported_cancelled: BTreeMap<String, u64>,
+    pub reported_done: BTreeSet<String>,
+    pub cancel_requested: BTreeSet<String>,
+    /// From then on the store has lower limits.
+    pub limits_fall_at: u64,
+    /// Terms whose leaders write machine records in packs.
+    pub pack_terms: std::ops::Range<u64>,
+    /// Whether records become unreadable in this schedule.
+    pub corrupts_records: bool,
+    /// Unreadable records, and until when.
+    pub unreadable_until: BTreeMap<String, u64>,
+    /// Unreadable records that leaders found at their takeovers.
+    pub unreadable_found: usize,
+    /// Transactions over the store's limits.
+    pub refused_commits: usize,
+    /// Starts of tasks whose jobs have dependencies.
+    pub dependent_starts: usize,
+    pub finished_tasks: BTreeMap<String, BTreeSet<u32>>,
     pub starts: usize,
-    /// Late copies that a leader took for news, having heard nothing newer; and machines found not to hear.
-    pub copies: usize,
-    pub deaf: usize,
+    /// Late copies that a leader accepted, as no newer report had arrived.
+    pub late_copies: usize,
+    /// Machines that leaders found unresponsive, summed over their steps.
+    pub unresponsive_seen: usize,
 }
 
-pub fn flavors(names: &mut Names) -> Vec<MachineType> {
+pub fn machine_types(names: &mut Names) -> Vec<MachineType> {
     names.types.intern("m8");
     vec![MachineType {
         label: "m8".into(),
@@ -142,9 +161,9 @@
 impl World {
     pub fn new(seed: u64) -> World {
         let mut settings =
-            sample_settings_with(&[(TEAMS_LINE, OWN_TEAMS), ZONES, (OBJECTIVES_LINE, "")]);
-        // Every other schedule has aims that can't be met: teams and classes are in need, and the order
-        // of service changes with what was served.
+            sample_settings_with(&[(TEAMS_LINE, TEST_TEAMS), ZONES, (OBJECTIVES_LINE, "")]);
+        // Every other schedule has objectives that cannot be met: teams and classes are underserved,
+        // and the placement order changes with the fairness counters.
         if seed.is_multiple_of(2) {
             settings.tuning.default_span_s = 8.0;
         }
@@ -152,14 +171,14 @@
             name: format!("n-{i:03}"),
             zone: if i.is_multiple_of(2) { "n" } else { "s" },
             spot: i.is_multiple_of(3),
-            token: 0,
-            shift: 1,
-            tally: 0,
-            answered: 1000,
-            next_report: 1000 + 70 * i as u64,
-            flight: None,
-            hangs_until: 0,
-            deaf_until: 0,
+            term: 0,
+            session: 1,
+            sequence: 0,
+            answered_sent_at: 1000,
+            next_report_at: 1000 + 70 * i as u64,
+            in_flight: None,
+            hung_until: 0,
+            unresponsive_until: 0,
             tasks: BTreeMap::new(),
         };
         World {
@@ -167,34 +186,34 @@
             settings: Arc::new(settings),
             now: 1000,
             store: BTreeMap::new(),
-            rev: 0,
-            key: None,
+            revision: 0,
+            leader_lease: None,
             term: 0,
             workers: (0..5).map(worker).collect(),
             leaders: vec![],
-            loyal: BTreeMap::new(),
-            parts: seed >= 60,
-            parted: 0,
-            lingered: 0,
-            mail: vec![],
+            old_leader_workers: BTreeMap::new(),
+            splits_leaders: seed >= 60,
+            cancelled_in_split: 0,
+            max_linger_ms: 0,
+            messages: vec![],
             submitted: BTreeMap::new(),
             accepted: BTreeSet::new(),
-            told_cancelled: BTreeMap::new(),
-            told_done: BTreeSet::new(),
-            asked_to_cancel: BTreeSet::new(),
-            falls: 6_000 + 8_000 * (seed % 10),
-            // From the start, from the third leader on, or not; and in some until the sixth.
-            packs: [0..u64::MAX, 3..u64::MAX, 1..6, u64::MAX..u64::MAX][seed as usize / 3 % 4]
+            reported_cancelled: BTreeMap::new(),
+            reported_done: BTreeSet::new(),
+            cancel_requested: BTreeSet::new(),
+            limits_fall_at: 6_000 + 8_000 * (seed % 10),
+            // Packs in all terms, from the third on, in terms 1 to 5, or never.
+            pack_terms: [0..u64::MAX, 3..u64::MAX, 1..6, u64::MAX..u64::MAX][seed as usize / 3 % 4]
                 .clone(),
-            spoils: seed % 3 == 2,
-            spoiled: BTreeMap::new(),
-            found: 0,
-            refused: 0,
-            waited: 0,
-            finished: BTreeMap::new(),
+            corrupts_records: seed % 3 == 2,
+            unreadable_until: BTreeMap::new(),
+            unreadable_found: 0,
+            refused_commits: 0,
+            dependent_starts: 0,
+            finished_tasks: BTreeMap::new(),
             starts: 0,
-            copies: 0,
-            deaf: 0,
+            late_copies: 0,
+            unresponsive_seen: 0,
         }
     }
 
@@ -212,48 +231,48 @@
 
     pub fn post(&mut self, msg: Msg) {
         let at = self.now + self.delay();
-        self.mail.push((at, msg));
+        self.messages.push((at, msg));
     }
 
-    /// What the store takes: changes of a transaction, bytes of a value. Leaders of the version
-    /// before write up to the old limits, until all are new, which is before the limits fall.
+    /// The store's limits: changes in a transaction, bytes in a value. Leaders of the earlier version
+    /// write up to the old limits until all are upgraded, which is before the limits fall.
     pub fn limits(&self, at: u64) -> (usize, usize) {
-        if at < self.falls { (16, 8192) } else { (5, LOW) }
+        if at < self.limits_fall_at { (16, 8192) } else { (5, LOWERED_VALUE_BYTES) }
     }
 
     /// Applies a transaction if its conditions hold.
     pub fn apply(&mut self, batch: &Batch) -> Result<u64, Vec<String>> {
-        let stamp = |w: &World, c: &Condition| match c.path.as_str() {
-            "c/leader" => w.key.map_or(0, |(_, stamp, _)| stamp),
+        let revision_of = |w: &World, c: &Condition| match c.path.as_str() {
+            "c/leader" => w.leader_lease.map_or(0, |(_, revision, _)| revision),
             path => w.store.get(path).map_or(0, |(_, s)| *s),
         };
         let failed: Vec<String> = batch
             .conditions
             .iter()
-            .filter(|c| stamp(self, c) != c.revision)
+            .filter(|c| revision_of(self, c) != c.revision)
             .map(|c| c.path.clone())
             .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
-        self.rev += 1;
+        self.revision += 1;
         for change in &batch.changes {
             match change {
-                Change::Put { path: put, value: v, .. } => {
-                    self.spoiled.remove(put);
-                    self.store.insert(put.clone(), (v.clone(), self.rev));
+                Change::Put { path, value, .. } => {
+                    self.unreadable_until.remove(path);
+                    self.store.insert(path.clone(), (value.clone(), self.revision));
                 }
-                Change::Delete { path: delete } => {
-                    self.spoiled.remove(delete);
-                    self.store.remove(delete);
+                Change::Delete { path } => {
+                    self.unreadable_until.remove(path);
+                    self.store.remove(path);
                 }
             }
         }
-        Ok(self.rev)
+        Ok(self.revision)
     }
 
-    /// The job and all that it needs, directly or through others.
-    pub fn needs(&self, uid: &str) -> BTreeSet<String> {
+    /// The job and all its direct and indirect dependencies.
+    pub fn dependency_closure(&self, uid: &str) -> BTreeSet<String> {
         let (mut all, mut next) = (BTreeSet::new(), vec![uid.to_string()]);
         while let Some(uid) = next.pop() {
             if all.insert(uid.clone()) {
@@ -263,15 +282,16 @@
         all
     }
 
-    pub fn play(&mut self, steps: usize) {
+    /// Runs the simulation for `steps` steps of `STEP_MS`.
+    pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
-            self.now += STEP;
-            self.troubles();
-            self.users();
+            self.now += STEP_MS;
+            self.inject_faults();
+            self.run_users();
             let now = self.now;
             let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.mail).into_iter().partition(|(at, _)| *at <= now);
-            self.mail = later;
+                std::mem::take(&mut self.messages).into_iter().partition(|(at, _)| *at <= now);
+            self.messages = later;
             for (_, msg) in due {
                 self.deliver(msg);
             }
