--- a/crates/core/tests/takeover_input.rs
+++ b/crates/core/tests/takeover_input.rs
@@ -1,7 +1,7 @@
-//! Takeovers on records that nobody would write: whatever stands at the state service, a new leader does not
-//! panic, its lists agree, and what it writes fits. Seeded; a failing seed is printed.
+//! Takeovers from arbitrary records: whatever the state service holds, a new leader does not panic,
+//! its state is consistent and its writes fit the limits. Seeded; a failing seed is printed.
 
-use copperhaven_core::for_tests::{START_MS as NOW, TERM, cell};
+use copperhaven_core::for_tests::{START_MS as NOW_MS, TERM, cell};
 use copperhaven_core::records::*;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-const WALL: u64 = 1_800_000_000_000;
+const WALL_MS: u64 = 1_800_000_000_000;
 
 fn pick<T: Clone>(rng: &mut StdRng, from: &[T]) -> T {
     from.choose(rng).cloned().expect("not empty")
@@ -22,8 +22,8 @@
 }
 
 fn number(rng: &mut StdRng) -> u64 {
-    let odd = [0, 1, u64::MAX, u64::MAX / 2, i64::MAX as u64 + 1, u32::MAX as u64, WALL * 2];
-    if rng.random_bool(0.7) { WALL - rng.random_range(0..100_000) } else { pick(rng, &odd) }
+    let odd = [0, 1, u64::MAX, u64::MAX / 2, i64::MAX as u64 + 1, u32::MAX as u64, WALL_MS * 2];
+    if rng.random_bool(0.7) { WALL_MS - rng.random_range(0..100_000) } else { pick(rng, &odd) }
 }
 
 fn uid(rng: &mut StdRng) -> String {
@@ -35,9 +35,9 @@
     }
 }
 
-fn name(rng: &mut StdRng, sound: &[&str]) -> String {
+fn name(rng: &mut StdRng, valid: &[&str]) -> String {
     let odd = ["", "?", "n/s", "\u{1}\u{1}", "unheard of"];
-    if rng.random_bool(0.9) { pick(rng, sound).into() } else { pick(rng, &odd).into() }
+    if rng.random_bool(0.9) { pick(rng, valid).into() } else { pick(rng, &odd).into() }
 }
 
 fn ranges(rng: &mut StdRng) -> Vec<u32> {
@@ -76,14 +76,14 @@
     }
 }
 
-fn records(rng: &mut StdRng) -> Records {
+fn random_records(rng: &mut StdRng) -> Records {
     let mut read = Records::default();
     for _ in 0..rng.random_range(0..15) {
         let id = uid(rng);
         let own = if rng.random_bool(0.95) { id.clone() } else { uid(rng) };
-        let on = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
-        let waits = DependencyWait {
-            dependencies: on,
+        let dependencies = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
+        let dependency_wait = DependencyWait {
+            dependencies,
             machine_types: None,
             parts: pick(rng, &[0, 0, 0, 1, 2, 5]),
         };
@@ -91,7 +91,7 @@
             job: body(rng, own),
             accepted_at_ms: number(rng),
             cancelled: rng.random_bool(0.2),
-            dependency_wait: rng.random_bool(0.3).then_some(waits),
+            dependency_wait: rng.random_bool(0.3).then_some(dependency_wait),
             eligible_at_ms: rng.random_bool(0.2).then(|| number(rng)),
         };
         read.jobs.push((format!("j/{id}"), record, 1));
@@ -104,17 +104,17 @@
             ));
         }
         if rng.random_bool(0.3) {
-            let on = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
+            let dependencies = (0..rng.random_range(0..3)).map(|_| uid(rng)).collect();
             let part = rng.random_range(0..3);
             read.dependency_lists.push((
                 format!("a/{id}/{part}"),
-                DependenciesRecord { dependencies: on },
+                DependenciesRecord { dependencies },
                 3,
             ));
         }
     }
     for n in 0..rng.random_range(0..6) {
-        let on = (0..rng.random_range(0..5))
+        let assignments = (0..rng.random_range(0..5))
             .map(|_| AssignmentRecord {
                 job: uid(rng),
                 attempt: number(rng),
@@ -127,25 +127,21 @@
             zone: name(rng, &["north", "south"]),
             spot: rng.random_bool(0.3),
             session: number(rng),
-            assignments: on,
+            assignments,
         };
         read.machines.push((format!("m/n-{n}"), record, 4));
     }
     for n in 0..rng.random_range(0..3) {
-        let (berth, yard) = (name(rng, &["small", "big"]), name(rng, &["north", "south"]));
-        let record = RentalRecord {
-            machine_type: berth,
-            zone: yard,
-            spot: false,
-            count: pick(rng, &[0, 3, u32::MAX]),
-        };
+        let (machine_type, zone) = (name(rng, &["small", "big"]), name(rng, &["north", "south"]));
+        let record =
+            RentalRecord { machine_type, zone, spot: false, count: pick(rng, &[0, 3, u32::MAX]) };
         read.rentals.push((format!("r/r-1-{n}"), record, 5));
     }
     for _ in 0..rng.random_range(0..4) {
         let id = uid(rng);
         let key = pick(rng, &["j", "d", "m", "a", "r", "f", "x", ""]);
         let path = if key == "m" { "m/n-3".to_string() } else { format!("{key}/{id}/0") };
-        // A path is on record once.
+        // Each path is read once.
         read.machines.retain(|(p, ..)| *p != path);
         read.unreadable.push((path, 6));
     }
@@ -154,8 +150,8 @@
     read
 }
 
-fn report(rng: &mut StdRng, term: u64, tally: u64) -> Report {
-    let parcels = (0..rng.random_range(0..5))
+fn report(rng: &mut StdRng, term: u64, sequence: u64) -> Report {
+    let tasks = (0..rng.random_range(0..5))
         .map(|_| TaskReport {
             task_id: format!(
                 "{}/{}",
@@ -176,62 +172,66 @@
         zone: name(rng, &["north", "south"]),
         spot: false,
         session: pick(rng, &[1, 1, 1, u64::MAX]),
-        sequence: tally,
+        sequence,
         term: pick(rng, &[term, term, term - 1]),
         reclaim_in_s: pick(rng, &[None, None, Some(f64::NAN), Some(-1.0), Some(1e300), Some(30.0)]),
-        tasks: parcels,
+        tasks,
     }
 }
 
-fn play(seed: u64) -> (usize, usize) {
+fn run_takeover(seed: u64) -> (usize, usize) {
     let rng = &mut StdRng::seed_from_u64(seed);
-    let mut c = cell();
-    let read = records(rng);
-    let all = read.jobs.len();
-    rebuild(&mut c, read, NOW, WALL);
-    c.fleet.provided_machines = Some(0);
+    let mut leader = cell();
+    let read = random_records(rng);
+    let read_jobs = read.jobs.len();
+    rebuild(&mut leader, read, NOW_MS, WALL_MS);
+    leader.fleet.provided_machines = Some(0);
     for step in 1..12u64 {
-        let now = NOW + step * rng.random_range(1..9_000);
+        let now = NOW_MS + step * rng.random_range(1..9_000);
         let r = report(rng, TERM, step);
-        if let copperhaven_core::workers::reports::ReportOutcome::Answer(mid) = c.on_report(&r, now)
+        if let copperhaven_core::workers::reports::ReportOutcome::Answer(machine_id) =
+            leader.on_report(&r, now)
         {
-            c.run_placement_pass(now);
-            let _ = c.issue_orders(mid, (r.session, r.sequence), now, true);
+            leader.run_placement_pass(now);
+            let _ = leader.issue_orders(machine_id, (r.session, r.sequence), now, true);
         }
-        c.expire_leases(now);
-        c.propagate_dependencies(now);
-        c.quarantine_slow_machines(now);
-        c.reassess_failing_jobs(now);
-        c.plan_returns(now);
-        c.plan_rentals(now);
-        if let Some(batch) = c.next_batch(16) {
+        leader.expire_leases(now);
+        leader.propagate_dependencies(now);
+        leader.quarantine_slow_machines(now);
+        leader.reassess_failing_jobs(now);
+        leader.plan_returns(now);
+        leader.plan_rentals(now);
+        if let Some(batch) = leader.next_batch(16) {
             assert!(batch.changes.len() <= 16);
             for change in &batch.changes {
-                assert!(change.encoded_len() <= c.write_queue.value_limit, "{change:?}");
+                assert!(change.encoded_len() <= leader.write_queue.value_limit, "{change:?}");
             }
-            c.on_applied(&batch, 100 + step);
+            leader.on_applied(&batch, 100 + step);
         }
         for n in 0..14 {
-            let _ = c.job_status(&format!("wk-{n}"));
+            let _ = leader.job_status(&format!("wk-{n}"));
         }
         if rng.random_bool(0.2)
-            && let Some(id) = c.jobs.id_of(&uid(rng))
+            && let Some(id) = leader.jobs.id_of(&uid(rng))
         {
-            c.cancel(id, now);
+            leader.cancel(id, now);
         }
     }
-    (all, c.jobs.len())
+    (read_jobs, leader.jobs.len())
 }
 
 #[test]
-fn whatever_stands_on_record_a_takeover_goes_on() {
-    let (mut all, mut taken) = (0, 0);
+fn takeover_handles_arbitrary_records() {
+    let (mut read_jobs, mut kept_jobs) = (0, 0);
     for seed in 0..1500 {
-        let played = std::panic::catch_unwind(|| play(seed));
-        let Ok((read, kept)) = played else { panic!("seed {seed}") };
-        all += read;
-        taken += kept;
+        let outcome = std::panic::catch_unwind(|| run_takeover(seed));
+        let Ok((jobs, kept)) = outcome else { panic!("takeover fails with seed {seed}") };
+        read_jobs += jobs;
+        kept_jobs += kept;
     }
-    // Neither is everything refused, nor is everything sound.
-    assert!(taken * 10 > all && taken < all, "{taken} of {all}");
+    // Some jobs must be kept and some refused.
+    assert!(
+        kept_jobs * 10 > read_jobs && kept_jobs < read_jobs,
+        "{kept_jobs} of {read_jobs} jobs kept"
+    );
 }
