--- a/crates/core/src/safety_tests.rs
+++ b/crates/core/src/safety_tests.rs
@@ -337,7 +337,7 @@
 
 #[test]
 fn starts_are_counted_when_the_image_is_already_cached() {
-    // Without counting these starts, classes with cached images get no run time and victims seem to run forever.
+    // Tasks with cached images are first reported as running: uncounted, their class has no run time and victims run forever.
     for (first, measured) in [("running", true), ("pulling", true), ("ended:done", false)] {
         let (mut c, id, machine_id, attempt) = leader_with_started_task();
         for (sequence, status, at) in [(3, first, 1_000), (4, "running", 2_000)] {
@@ -522,7 +522,7 @@
 
 #[test]
 fn restarts_during_an_outage_lose_and_start_nothing() {
-    // Each controller restarts before any writes, and waits for the same machines from its own takeover on.
+    // Controllers restart before any writes: each reads the same records and awaits the same machines from its takeover on.
     let job = job_record("wk-1");
     let machine = MachineRecord {
         addr: "127.0.0.1:9".into(),
@@ -558,7 +558,7 @@
 
 #[test]
 fn gang_members_that_exit_alone_restart_while_others_fetch() {
-    // Where fetching takes longer than a gang may wait, one exit `alone` stopped the others' fetches, over and over.
+    // Where fetches outlast the gang wait, a member with the image exited `alone` and ended the others' fetches, repeatedly.
     for (other, ends_attempt) in [("pulling", false), ("waiting", true)] {
         let mut c = cell();
         let id = add_job(&mut c, "wk-1", |b| {
@@ -643,7 +643,7 @@
 
 #[test]
 fn nothing_is_rented_in_silent_zones() {
-    // Guards against renting again in a zone that is cut off (70 machines, none of which reported for two minutes).
+    // Guards against renting in a cut-off zone once its machines are returned (70, none of which reported for 2 minutes).
     let mut c = cell();
     c.fleet.provided_machines = Some(0);
     let (north, south) = (ZoneId(0), ZoneId(1));
