--- a/crates/controller/src/leadership/load.rs
+++ b/crates/controller/src/leadership/load.rs
@@ -67,13 +67,13 @@
     leader.recovery.set_started_at(started_at);
     let records = Records {
         jobs: jobs.rows,
-        done: done.rows,
+        done_tasks: done.rows,
         machines: machines.rows,
         packs: packs.rows,
         packs_enabled,
         rentals: rentals.rows,
         dependency_lists: dependency_lists.rows,
-        service,
+        fairness: service,
         unreadable,
     };
     rebuild(&mut leader, records, now, Node::unix_time_ms());
@@ -83,7 +83,7 @@
     tracing::info!(
         "term {term}: loaded {jobs} open jobs and {machines} machines from the records in {elapsed_ms} ms"
     );
-    node.state.lock().expect("lock").cell = Some(leader);
+    node.state.lock().expect("lock").leader_state = Some(leader);
     Ok(())
 }
 
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -224,7 +224,7 @@
     };
     {
         let mut state = node.state.lock().expect("lock");
-        state.cell = None;
+        state.leader_state = None;
         if state.leader.is_some_and(|(_, index)| index == node.cluster.own_index) {
             state.leader = None;
         }
--- a/crates/controller/src/leadership/stages.rs
+++ b/crates/controller/src/leadership/stages.rs
@@ -27,7 +27,7 @@
         let stored = match node.store.get::<AbilitiesRecord>(&path).await {
             Ok(stored) => stored,
             // An unreadable record is overwritten: this process knows its own abilities.
-            Err(StoreError::Unreadable { stamp: revision, .. }) => {
+            Err(StoreError::Unreadable { revision, .. }) => {
                 Some((AbilitiesRecord { release: 0, abilities: Default::default() }, revision))
             }
             Err(_) => {
--- a/crates/controller/src/leadership/tests.rs
+++ b/crates/controller/src/leadership/tests.rs
@@ -176,7 +176,7 @@
         let node = service.node().await;
         load(&node, 1, 5).await.expect("loads despite unreadable records");
         let state = node.state.lock().expect("lock");
-        let leader = state.cell.as_ref().expect("a leader state");
+        let leader = state.leader_state.as_ref().expect("a leader state");
         // Without machine types no job is known to fit a machine: both jobs are unreadable, each
         // for its own reason.
         assert!(
--- a/crates/controller/src/leadership/ticks.rs
+++ b/crates/controller/src/leadership/ticks.rs
@@ -57,7 +57,7 @@
         tick += 1;
         late_ticks = count_late_ticks(late_ticks, lag_ms);
         let direct = node.with_leader_state(term, |leader, _| {
-            leader.timer_lag = lag_ms;
+            leader.timer_lag_ms = lag_ms;
             log_recovery_progress(leader, now);
             leader.migrate_machines_to_packs(MIGRATIONS_PER_TICK);
             leader.expire_leases(now);
--- a/crates/controller/src/net.rs
+++ b/crates/controller/src/net.rs
@@ -37,7 +37,7 @@
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
             }
-            Net::Custom(network) => network.dial(addr).await.map(Stream::Other),
+            Net::Custom(network) => network.dial(addr).await.map(Stream::Custom),
         }
     }
 }
@@ -47,7 +47,7 @@
     /// A TCP connection.
     Tcp(TcpStream),
     /// A connection in a simulated network.
-    Other(DuplexStream),
+    Custom(DuplexStream),
 }
 
 impl AsyncRead for Stream {
@@ -58,7 +58,7 @@
     ) -> Poll<io::Result<()>> {
         match self.get_mut() {
             Stream::Tcp(s) => Pin::new(s).poll_read(cx, buf),
-            Stream::Other(s) => Pin::new(s).poll_read(cx, buf),
+            Stream::Custom(s) => Pin::new(s).poll_read(cx, buf),
         }
     }
 }
@@ -71,7 +71,7 @@
     ) -> Poll<io::Result<usize>> {
         match self.get_mut() {
             Stream::Tcp(s) => Pin::new(s).poll_write(cx, buf),
-            Stream::Other(s) => Pin::new(s).poll_write(cx, buf),
+            Stream::Custom(s) => Pin::new(s).poll_write(cx, buf),
         }
     }
 
@@ -82,28 +82,28 @@
     ) -> Poll<io::Result<usize>> {
         match self.get_mut() {
             Stream::Tcp(s) => Pin::new(s).poll_write_vectored(cx, bufs),
-            Stream::Other(s) => Pin::new(s).poll_write_vectored(cx, bufs),
+            Stream::Custom(s) => Pin::new(s).poll_write_vectored(cx, bufs),
         }
     }
 
     fn is_write_vectored(&self) -> bool {
         match self {
             Stream::Tcp(s) => s.is_write_vectored(),
-            Stream::Other(s) => s.is_write_vectored(),
+            Stream::Custom(s) => s.is_write_vectored(),
         }
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match self.get_mut() {
             Stream::Tcp(s) => Pin::new(s).poll_flush(cx),
-            Stream::Other(s) => Pin::new(s).poll_flush(cx),
+            Stream::Custom(s) => Pin::new(s).poll_flush(cx),
         }
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match self.get_mut() {
             Stream::Tcp(s) => Pin::new(s).poll_shutdown(cx),
-            Stream::Other(s) => Pin::new(s).poll_shutdown(cx),
+            Stream::Custom(s) => Pin::new(s).poll_shutdown(cx),
         }
     }
 }
--- a/crates/controller/src/node/authority.rs
+++ b/crates/controller/src/node/authority.rs
@@ -12,14 +12,14 @@
 impl Node {
     /// Returns whether this controller leads and its leader lease has not run out.
     pub(super) fn has_authority(&self, state: &NodeState, now: u64) -> bool {
-        state.cell.as_ref().is_some_and(|leader| leader.term >= state.highest_term)
+        state.leader_state.as_ref().is_some_and(|leader| leader.term >= state.highest_term)
             && now < state.lease_renewed_ms + self.settings.tuning.leader_lease_ms
     }
 
     /// Returns whether this controller leads and may still renew workers' leases: its own lease has
     /// not run out, or is within the renewal grace.
     pub(super) fn is_within_grace(&self, state: &NodeState, now: u64) -> bool {
-        state.cell.as_ref().is_some_and(|leader| leader.term >= state.highest_term)
+        state.leader_state.as_ref().is_some_and(|leader| leader.term >= state.highest_term)
             && now < state.lease_renewed_ms + self.settings.renewal_grace_ms()
     }
 
@@ -46,7 +46,7 @@
     pub fn leadership_status(&self) -> (u64, bool) {
         let now = self.now();
         let state = self.state.lock().expect("lock");
-        match &state.cell {
+        match &state.leader_state {
             Some(leader) if self.is_within_grace(&state, now) => (leader.term, true),
             _ => (state.highest_term, false),
         }
@@ -79,7 +79,7 @@
 
     pub(super) fn is_ready_at(&self, now: u64) -> bool {
         let mut state = self.state.lock().expect("lock");
-        let reachable = if state.cell.is_some() {
+        let reachable = if state.leader_state.is_some() {
             self.has_authority(&state, now)
         } else {
             state.leader.is_some_and(|(_, ix)| {
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct NodeState {
     /// The leader's memory; present once the records are loaded and until the leadership ends.
-    pub cell: Option<LeaderState>,
+    pub leader_state: Option<LeaderState>,
     /// Send time of the last successful renewal of this controller's own leader lease, on the
     /// monotonic clock; 0 if it has never led.
     pub lease_renewed_ms: u64,
@@ -183,7 +183,7 @@
         let now = self.now();
         let mut state = self.state.lock().expect("lock");
         let has_authority = self.has_authority(&state, now);
-        let leader = state.cell.as_mut().filter(|leader| leader.term == term)?;
+        let leader = state.leader_state.as_mut().filter(|leader| leader.term == term)?;
         Some(f(leader, has_authority))
     }
 
@@ -211,7 +211,7 @@
 
     /// Term of the leader state that this controller holds.
     pub(super) fn term(&self) -> Option<u64> {
-        self.state.lock().expect("lock").cell.as_ref().map(|leader| leader.term)
+        self.state.lock().expect("lock").leader_state.as_ref().map(|leader| leader.term)
     }
 
     /// Wakes the commit loop to write the dirty records.
--- a/crates/controller/src/node/submissions.rs
+++ b/crates/controller/src/node/submissions.rs
@@ -127,7 +127,7 @@
             if !leader.has_memory_for(spec.team, spec.tasks) {
                 leader
                     .fairness_ledger
-                    .submission_refused(fairness_accounting::fairness_pair(&spec), Refusal::Memory);
+                    .submission_refused(fairness_accounting::fairness_team_class(&spec), Refusal::Memory);
                 return Err(Reply::later("more tasks than fit into memory", jittered_retry_s(15)));
             }
             // Machine types that the cloud does not have make no difference, and a long list of
@@ -169,7 +169,7 @@
                 Ok(routed) => routed,
                 Err(lowest_index) => {
                     leader.fairness_ledger.submission_refused(
-                        fairness_accounting::fairness_pair(&spec),
+                        fairness_accounting::fairness_team_class(&spec),
                         Refusal::Index,
                     );
                     tracing::info!(
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -11,10 +11,10 @@
 #[test]
 fn the_leader_lease_counts_from_the_send_time_of_the_last_successful_renewal() {
     let node = Node::new(copperhaven_core::for_tests::sample_settings());
-    let leader = copperhaven_core::for_tests::cell();
+    let leader = copperhaven_core::for_tests::sample_leader();
     let term = leader.term;
     let mut state =
-        NodeState { cell: Some(leader), lease_renewed_ms: 10_000, ..NodeState::default() };
+        NodeState { leader_state: Some(leader), lease_renewed_ms: 10_000, ..NodeState::default() };
     let lease_ms = node.settings.tuning.leader_lease_ms;
     let grace_ms = node.settings.renewal_grace_ms();
     for (at, authority, within_grace) in [
@@ -36,7 +36,7 @@
     // A job with 300 dependencies was refused as too long to be recorded, since its dependencies
     // were counted as part of the job's own record.
     let node = Node::new(copperhaven_core::for_tests::sample_settings());
-    let mut leader = copperhaven_core::for_tests::cell();
+    let mut leader = copperhaven_core::for_tests::sample_leader();
     leader.write_queue.value_limit = 2048;
     let term = leader.term;
     let uids: Vec<String> = (2000..3000).map(|n| format!("wk-{n}")).collect();
@@ -46,7 +46,7 @@
     }
     let lease_renewed_ms = node.now();
     *node.state.lock().expect("lock") =
-        NodeState { cell: Some(leader), lease_renewed_ms, ..NodeState::default() };
+        NodeState { leader_state: Some(leader), lease_renewed_ms, ..NodeState::default() };
     let body = |n: usize, dependencies: &[String]| jobs::JobBody {
         depends_on: Some(dependencies.to_vec()),
         ..copperhaven_core::for_tests::body(&format!("wk-{n}"))
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -23,13 +23,13 @@
     Malformed,
     /// The service answered, but the value is not what this release writes under the key.
     #[error(
-        "the record {key} (version {stamp}) can't be read: mend it or have the version that wrote it lead"
+        "the record {key} (version {revision}) can't be read: mend it or have the version that wrote it lead"
     )]
     Unreadable {
         /// The key of the record.
         key: String,
         /// The revision of the record.
-        stamp: u64,
+        revision: u64,
     },
 }
 
@@ -151,7 +151,7 @@
                     return Ok(Some((item.value, item.revision, item.lease_id)));
                 }
                 let item: Item<IgnoredAny> = Self::decode(&response)?;
-                Err(StoreError::Unreadable { key: key.into(), stamp: item.revision })
+                Err(StoreError::Unreadable { key: key.into(), revision: item.revision })
             }
             404 => Ok(None),
             s => Err(StoreError::Status(s)),
--- a/crates/controller/tests/architecture.rs
+++ b/crates/controller/tests/architecture.rs
@@ -134,7 +134,7 @@
             }
         }
         let is_leader_state = code.contains("\nimpl LeaderState {");
-        for receiver in ["self.", "leader.", "cell.", "c."] {
+        for receiver in ["self.", "leader.", "leader_state.", "cell.", "c."] {
             if receiver == "self." && !is_leader_state {
                 continue;
             }
--- a/crates/controller/tests/world/answers.rs
+++ b/crates/controller/tests/world/answers.rs
@@ -3,18 +3,18 @@
 //! answers of the state service are lost, one kind of transaction at a time or at random, and writers end before they
 //! get an answer.
 
-use crate::network::Mode;
+use crate::faults::Fault::*;
+use crate::network::LinkFault;
 use crate::scenes::{Scene, Schedule};
 use crate::schedules::Side;
-use crate::steps::Act::{self, *};
-use crate::steps::Moment::{self, *};
-use crate::steps::Trap;
-use crate::troubles::Trouble::*;
+use crate::triggers::Action::{self, *};
+use crate::triggers::FaultTrigger;
+use crate::triggers::RequestKind::{self, *};
 
 /// The faults tried with each kind of transaction, and how often each is injected: the answer is lost, once or often;
 /// the answer is lost and the writer refused from then on; the writer ends before it gets the answer, or before the
 /// transaction is carried out; the transaction is carried out seconds later.
-const ACTS: [(Act, u32); 7] = [
+const ACTS: [(Action, u32); 7] = [
     (LoseAnswer, 1),
     (LoseAnswer, 12),
     (LoseAndRefuse(20_000), 2),
@@ -24,20 +24,20 @@
     (Delay(6_000), 6),
 ];
 
-fn check_each_fault(moments: &[Moment]) {
+fn check_each_fault(moments: &[RequestKind]) {
     for at in moments {
         for (i, (act, times)) in ACTS.into_iter().enumerate() {
             let controllers = if i % 2 == 0 { 3 } else { 5 };
             // Elections need ends of leaders. One follower has no links to its peers, so that it has to read the
             // records itself.
-            let peer_cut = (0, 20_000, Cut(1, Side::Peers, Mode::Hold));
+            let peer_cut = (0, 20_000, Cut(1, Side::Peers, LinkFault::Hold));
             let ends = [(2_000, 2_001, End(300)), (14_000, 14_001, End(8_000)), peer_cut];
             let schedule: &[_] = if *at == Election { &ends } else { &[peer_cut] };
-            let traps = [Trap { at: *at, times, act }];
+            let traps = [FaultTrigger { at: *at, times, act }];
             let name = format!("{at:?}, {act:?} {times} times, {controllers} controllers");
             let scene = Scene { controllers, traps: &traps, ..Scene::of(schedule) };
             let out = scene.check(&name, 20 + i as u64);
-            assert!(out.sprung > 0, "{name}: no trap sprang");
+            assert!(out.triggered > 0, "{name}: no trap sprang");
         }
     }
 }
@@ -74,9 +74,9 @@
         ("answers lost", &lost_answers),
     ] {
         for controllers in [3, 5] {
-            let traps = [Trap { at: FinalRecord, times: u32::MAX, act: QueryEnding }];
+            let traps = [FaultTrigger { at: FinalRecord, times: u32::MAX, act: QueryEnding }];
             let out = Scene { controllers, traps: &traps, ..Scene::of(schedule) }.check(name, 50);
-            assert!(out.sprung > 10, "{name}: {out:?}");
+            assert!(out.triggered > 10, "{name}: {out:?}");
         }
     }
 }
@@ -92,24 +92,30 @@
         ),
         (
             "answers lost, leader refused",
-            vec![(0, 40_000, LostAnswers), (8_000, 30_000, Refused(0))],
+            vec![(0, 40_000, LostAnswers), (8_000, 30_000, StateRefused(0))],
         ),
         (
             "answers lost, leader refused, outage",
-            vec![(0, 60_000, LostAnswers), (6_000, 58_000, Refused(0)), (7_000, 50_000, Down)],
+            vec![(0, 60_000, LostAnswers), (6_000, 58_000, StateRefused(0)), (7_000, 50_000, Down)],
+        ),
+        (
+            "late transactions, a leader ends",
+            vec![(0, 40_000, LateTransactions), (12_000, 12_001, End(300))],
         ),
-        ("late transactions, a leader ends", vec![(0, 40_000, Late), (12_000, 12_001, End(300))]),
         (
             "a follower without peers",
-            vec![(0, 30_000, Cut(1, Side::Peers, Mode::Hold)), (5_000, 35_000, LostAnswers)],
+            vec![(0, 30_000, Cut(1, Side::Peers, LinkFault::Hold)), (5_000, 35_000, LostAnswers)],
         ),
         (
             "a leader without peers, slow state service",
-            vec![(0, 30_000, Cut(0, Side::Peers, Mode::Refuse)), (3_000, 33_000, Slow(250))],
+            vec![(0, 30_000, Cut(0, Side::Peers, LinkFault::Refuse)), (3_000, 33_000, Slow(250))],
         ),
         (
             "a leader with only workers and users",
-            vec![(0, 40_000, Alone(0, Mode::Hold)), (5_000, 30_000, LostAnswers)],
+            vec![
+                (0, 40_000, OnlyWorkersAndUsers(0, LinkFault::Hold)),
+                (5_000, 30_000, LostAnswers),
+            ],
         ),
         (
             "ten changes of leader",
@@ -123,7 +129,7 @@
         for controllers in [3, 5] {
             let scene = Scene { controllers, ..Scene::of(schedule) };
             let out = scene.check(&format!("{name}, {controllers} controllers"), 40);
-            assert!(out.looks.0 > 400 && out.bad > 10, "{name}: {out:?}");
+            assert!(out.query_bursts.0 > 400 && out.invalid_rejected > 10, "{name}: {out:?}");
         }
     }
 }
--- a/crates/controller/tests/world/checker.rs
+++ b/crates/controller/tests/world/checker.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// The setting `cancel_s`: the longest time for which a task may be present after its job's confirmed cancellation.
-pub const CANCEL: Duration = Duration::from_secs(35);
+pub const MAX_CANCEL_LINGER: Duration = Duration::from_secs(35);
 
 /// A worker drops an answer that takes longer, so a `run` that was decided before a confirmed cancellation cannot be
 /// carried out later than this after it.
@@ -21,7 +21,7 @@
     /// Its zone.
     pub zone: &'static str,
     /// Its machine type.
-    pub berth: &'static str,
+    pub machine_type: &'static str,
     /// Whether it is a spot machine.
     pub spot: bool,
 }
@@ -56,7 +56,7 @@
 }
 
 /// Splits a task id into the job and the task's index.
-pub fn parts(task_id: &str) -> (&str, u32) {
+pub fn split_task_id(task_id: &str) -> (&str, u32) {
     let (job, index) = task_id.split_once('/').unwrap_or((task_id, "0"));
     (job, index.parse().unwrap_or_default())
 }
@@ -68,8 +68,8 @@
     }
 
     /// Checks a `run` order that a worker carries out.
-    pub fn ordered(&self, task_id: &str) {
-        let since_cancelled = self.cancelled.get(parts(task_id).0).map(Instant::elapsed);
+    pub fn check_run_order(&self, task_id: &str) {
+        let since_cancelled = self.cancelled.get(split_task_id(task_id).0).map(Instant::elapsed);
         assert!(
             since_cancelled
                 .is_none_or(|since| since <= ANSWER_TIMEOUT + Duration::from_millis(100)),
@@ -78,20 +78,20 @@
     }
 
     /// Records that a task has its image and runs on its machine from now on, and checks the place.
-    pub fn on(&mut self, task_id: &str, place: Place) {
-        let job = parts(task_id).0;
+    pub fn task_started(&mut self, task_id: &str, place: Place) {
+        let job = split_task_id(task_id).0;
         let body = self.jobs.get(job).cloned().unwrap_or_else(|| panic!("no such job: {task_id}"));
         let job_places: Vec<&Place> = self
             .placements
             .iter()
-            .filter(|(other, _)| parts(other).0 == job)
+            .filter(|(other, _)| split_task_id(other).0 == job)
             .map(|(_, at)| at)
             .collect();
         let fits = body.zone.as_ref().is_none_or(|zone| zone == place.zone)
             && body
                 .machine_types
                 .as_ref()
-                .is_none_or(|types| types.iter().any(|t| t == place.berth))
+                .is_none_or(|types| types.iter().any(|t| t == place.machine_type))
             && (body.spot || !place.spot)
             && (!body.one_zone || job_places.iter().all(|p| p.zone == place.zone));
         let in_zone = 1 + job_places.iter().filter(|p| p.zone == place.zone).count() as u64;
@@ -104,13 +104,13 @@
         let before = self.placements.insert(task_id.into(), place.clone());
         assert!(before.is_none(), "ran_twice: {task_id} on {place:?} and {before:?}");
         self.started += 1;
-        self.check(CANCEL);
+        self.check(MAX_CANCEL_LINGER);
     }
 
     /// Returns the CPUs that a team's running tasks use.
     fn used_cpus(&self, team: &str) -> f64 {
         let cpus = |task_id: &String| {
-            let body = &self.jobs[parts(task_id).0];
+            let body = &self.jobs[split_task_id(task_id).0];
             if body.team == team { body.cpus } else { 0.0 }
         };
         self.placements.keys().map(cpus).sum()
@@ -124,7 +124,7 @@
             assert!(used <= self.max_team_cpus, "quota: {team} uses {used}");
         }
         for (task_id, place) in &self.placements {
-            let Some(cancelled_at) = self.cancelled.get(parts(task_id).0) else { continue };
+            let Some(cancelled_at) = self.cancelled.get(split_task_id(task_id).0) else { continue };
             let since = cancelled_at.elapsed();
             self.lingered = self.lingered.max(since);
             assert!(since <= max_linger, "ran_cancelled: {task_id} on {place:?} after {since:?}");
@@ -132,28 +132,28 @@
     }
 
     /// Records that a task has left its machine, and whether it is done.
-    pub fn off(&mut self, task_id: &str, machine: &str, done: bool) {
+    pub fn task_stopped(&mut self, task_id: &str, machine: &str, done: bool) {
         let recorded = self.placements.remove(task_id).map(|place| place.machine);
         assert_eq!(recorded.as_deref(), Some(machine), "{task_id}");
         if done {
-            self.end(task_id);
+            self.task_done(task_id);
         }
     }
 
     /// Records that a task is done; its result is stored.
-    pub fn end(&mut self, task_id: &str) {
+    pub fn task_done(&mut self, task_id: &str) {
         if self.done_tasks.insert(task_id.into()) {
-            *self.done.entry(parts(task_id).0.into()).or_default() += 1;
+            *self.done.entry(split_task_id(task_id).0.into()).or_default() += 1;
         }
     }
 
     /// Returns whether a task is done. Its result is stored, so if it is started again, it is done at once.
-    pub fn has_ended(&self, task_id: &str) -> bool {
+    pub fn is_task_done(&self, task_id: &str) -> bool {
         self.done_tasks.contains(task_id)
     }
 
     /// Returns how many tasks of a job are done, and how many it has.
-    pub fn done_of(&self, uid: &str) -> (u32, u64) {
+    pub fn done_and_total(&self, uid: &str) -> (u32, u64) {
         let all = self.jobs.get(uid).map_or(0, |b| b.tasks);
         (self.done.get(uid).copied().unwrap_or(0), all)
     }
@@ -163,7 +163,7 @@
     /// `free` holds zone, free CPUs and free memory in GB of each machine that is up. `allocated` holds the tasks on
     /// these machines with their CPUs; tasks whose image is still being pulled count against the limit as well. Returns
     /// a job that has waited for more than 90 s, if there is one.
-    pub fn look_for_idle<'a>(
+    pub fn find_idle<'a>(
         &mut self,
         open: impl Iterator<Item = &'a String>,
         free: &[(&'static str, f64, f64)],
@@ -189,7 +189,10 @@
             };
             // The zone that the job asks for, or with `one_zone` that of its tasks that run.
             let zone_of_tasks = || {
-                self.placements.iter().find(|(t, _)| parts(t).0 == uid).map(|(_, place)| place.zone)
+                self.placements
+                    .iter()
+                    .find(|(t, _)| split_task_id(t).0 == uid)
+                    .map(|(_, place)| place.zone)
             };
             let zone = body.zone.as_deref().or_else(|| zone_of_tasks().filter(|_| body.one_zone));
             let max_tasks = match (body.one_zone, zone) {
@@ -201,7 +204,7 @@
             };
             let min_tasks = if body.kind == JobKind::Gang { body.tasks as f64 } else { 1.0 };
             let of_team = |(task_id, _): &&(String, f64)| {
-                self.jobs.get(parts(task_id).0).is_some_and(|b| b.team == body.team)
+                self.jobs.get(split_task_id(task_id).0).is_some_and(|b| b.team == body.team)
             };
             let used: f64 = allocated.iter().filter(of_team).map(|(_, cpus)| cpus).sum();
             let below_limit = used + min_tasks * body.cpus <= self.max_team_cpus;
--- a/crates/controller/tests/world/cloud.rs
+++ b/crates/controller/tests/world/cloud.rs
@@ -4,7 +4,7 @@
 use crate::World;
 use crate::network::{Host, Network};
 use crate::services::{CLOUD, serve};
-use crate::workers::{self, BERTH, CPUS, Worker};
+use crate::workers::{self, CPUS, MACHINE_TYPE, Worker};
 use copperhaven_wire::cloud::WireMachineType;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -61,7 +61,7 @@
     /// All machines, provided and rented, by name.
     machines: BTreeMap<String, Machine>,
     /// Whether answers to rentals are lost; the rentals are carried out.
-    pub mum: bool,
+    pub lose_answers: bool,
     /// Rented machines that finished booting.
     pub booted: usize,
     /// Machines that were returned.
@@ -76,7 +76,7 @@
             last_number: 500,
             rentals: BTreeMap::new(),
             machines: BTreeMap::new(),
-            mum: false,
+            lose_answers: false,
             booted: 0,
             returned: 0,
         }
@@ -86,7 +86,7 @@
     fn list(&self) -> Value {
         let listed = self.machines.values().filter(|m| m.since.elapsed() >= m.list_lag).map(|m| {
             let zone = ["north", "south", "west"][m.zone];
-            json!({"uid": m.name, "addr": format!("worker-{}:1", m.name), "berth": BERTH,
+            json!({"uid": m.name, "addr": format!("worker-{}:1", m.name), "berth": MACHINE_TYPE,
                 "yard": zone, "loaners": m.spot,
                 "status": if m.up { "running" } else { "booting" }, "heldS": m.since.elapsed().as_secs_f64()})
         });
@@ -140,7 +140,7 @@
             names.push(name);
         }
         cloud.rentals.insert(request.rental_id, names.clone());
-        (!cloud.mum).then(|| (200, json!({"hearths": names})))
+        (!cloud.lose_answers).then(|| (200, json!({"hearths": names})))
     }
 
     /// Finishes the boot of a rented machine, unless it has been returned.
@@ -186,7 +186,7 @@
         let stopped: Vec<Arc<Mutex<Worker>>> = stopped;
         for worker in stopped {
             let mut w = worker.lock().expect("lock");
-            w.go(self);
+            w.remove(self);
             self.cloud.lock().expect("lock").machines.remove(&w.name);
         }
     }
@@ -206,7 +206,7 @@
             let machine = self.cloud.lock().expect("lock").machines.remove(name);
             let Some(machine) = machine else { continue };
             if let Some(worker) = machine.worker {
-                worker.lock().expect("lock").go(self);
+                worker.lock().expect("lock").remove(self);
                 self.workers.lock().expect("lock").retain(|w| !Arc::ptr_eq(w, &worker));
             }
             self.cloud.lock().expect("lock").returned += 1;
@@ -218,7 +218,7 @@
 /// Makes the cloud listen at its address. `world` must exist by the time of the first request.
 pub fn open(net: &Arc<Network>, zones: &[&str], world: Weak<World>) {
     let machine_type = WireMachineType {
-        label: BERTH.into(),
+        label: MACHINE_TYPE.into(),
         cpus: CPUS,
         gpus: 0.0,
         mem_gb: 32.0,
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -3,38 +3,44 @@
 //! Each row runs with three and five controllers, with its schedule reversed, and with an end of the leader halfway
 //! through.
 
-use crate::network::Mode;
+use crate::faults::Fault::*;
+use crate::network::LinkFault;
 use crate::scenes::{HABITS, Scene, Schedule, reversed, with_an_end};
 use crate::schedules::Side;
-use crate::steps::Act::{self, *};
-use crate::steps::Moment::{self, *};
-use crate::steps::Trap;
-use crate::troubles::Trouble::*;
-use crate::users::{Habits, Mix};
+use crate::triggers::Action::{self, *};
+use crate::triggers::FaultTrigger;
+use crate::triggers::RequestKind::{self, *};
+use crate::users::{Mix, UserBehavior};
 use std::time::Duration;
 
 struct Row {
     name: &'static str,
     machines: usize,
-    habits: Habits,
+    habits: UserBehavior,
     schedule: Schedule,
-    traps: Vec<Trap>,
+    traps: Vec<FaultTrigger>,
 }
 
 fn row(name: &'static str, schedule: Schedule) -> Row {
     // Tasks run longer than a lease (16 s) and than `cancel_s` (35 s).
-    let habits = Habits { run: Duration::from_secs(40), looks: false, odd: false, ..HABITS };
+    let habits = UserBehavior {
+        run: Duration::from_secs(40),
+        query_bursts: false,
+        invalid_jobs: false,
+        ..HABITS
+    };
     Row { name, machines: 18, habits, schedule, traps: vec![] }
 }
 
 /// Both teams submit several times as much work as their limit allows.
 fn at_limit(row: Row) -> Row {
     let every = Duration::from_millis(600);
-    Row { habits: Habits { limit: 24, every, ..row.habits }, ..row }
+    Row { habits: UserBehavior { max_team_cpus: 24, submit_interval: every, ..row.habits }, ..row }
 }
 
-fn trapped(row: Row, traps: &[(Moment, u32, Act)]) -> Row {
-    let traps = traps.iter().map(|(at, times, act)| Trap { at: *at, times: *times, act: *act });
+fn trapped(row: Row, traps: &[(RequestKind, u32, Action)]) -> Row {
+    let traps =
+        traps.iter().map(|(at, times, act)| FaultTrigger { at: *at, times: *times, act: *act });
     Row { traps: traps.collect(), ..row }
 }
 
@@ -84,7 +90,7 @@
         row(
             "machines that reach no controller still receive direct orders",
             vec![
-                (0, 40_000, Mute(0)),
+                (0, 40_000, SilentZone(0)),
                 (3_000, 3_001, CancelNow(10, 0)),
                 (12_000, 12_001, End(8_000)),
             ],
@@ -92,9 +98,9 @@
         row(
             "machines reach no controller, one zone after the other",
             vec![
-                (0, 14_000, Mute(0)),
-                (4_000, 18_000, Mute(1)),
-                (8_000, 30_000, Mute(2)),
+                (0, 14_000, SilentZone(0)),
+                (4_000, 18_000, SilentZone(1)),
+                (8_000, 30_000, SilentZone(2)),
                 (5_000, 5_001, CancelNow(10, 5_000)),
             ],
         ),
@@ -105,16 +111,16 @@
         row(
             "a zone and one controller are isolated for longer than a lease",
             vec![
-                (0, 40_000, Island(0, 0)),
+                (0, 40_000, IsolatedZone(0, 0)),
                 (5_000, 5_001, CancelNow(12, 0)),
-                (50_000, 80_000, Island(1, 1)),
+                (50_000, 80_000, IsolatedZone(1, 1)),
                 (52_000, 52_001, CancelNow(9, 0)),
             ],
         ),
         row(
             "orders and responses are delayed while machines hang and resume",
             vec![
-                (0, 9_000, Cut(0, Side::ToWorkers, Mode::Slow(3_000))),
+                (0, 9_000, Cut(0, Side::ToWorkers, LinkFault::Slow(3_000))),
                 (2_000, 2_001, CancelNow(10, 6_000)),
                 (4_000, 4_001, Hang(7_000)),
                 (12_000, 12_001, End(300)),
@@ -128,7 +134,7 @@
         row(
             "old reports reach all controllers as a new leader takes over",
             vec![
-                (0, 70_000, KeptForNext),
+                (0, 70_000, ReportsKeptForNextLeader),
                 (8_000, 8_001, End(300)),
                 (24_000, 24_001, End(8_000)),
                 (44_000, 44_001, AllEnd(300)),
@@ -138,7 +144,7 @@
         row(
             "old reports at a takeover, machines hang meanwhile",
             vec![
-                (0, 60_000, KeptForNext),
+                (0, 60_000, ReportsKeptForNextLeader),
                 (6_000, 6_001, Hang(14_000)),
                 (9_000, 9_001, End(300)),
                 (30_000, 30_001, Hang(20_000)),
@@ -148,7 +154,7 @@
         at_limit(row(
             "old reports at a takeover, teams at their limit, a zone is cut off",
             vec![
-                (0, 60_000, KeptForNext),
+                (0, 60_000, ReportsKeptForNextLeader),
                 (5_000, 28_000, CutOff(2)),
                 (9_000, 9_001, End(300)),
                 (10_000, 10_001, CancelNow(9, 4_000)),
@@ -160,7 +166,7 @@
             vec![
                 (0, 1, AllEnd(19_000)),
                 (40_000, 40_001, AllEnd(26_000)),
-                (0, 60_000, KeptForNext),
+                (0, 60_000, ReportsKeptForNextLeader),
             ],
         ),
     ]
@@ -170,8 +176,8 @@
     let ends =
         vec![(1_000, 1_001, End(300)), (16_000, 16_001, End(8_000)), (34_000, 34_001, AllEnd(300))];
     let worker_cuts = vec![
-        (0, 8_000, Cut(0, Side::Workers, Mode::Hold)),
-        (14_000, 22_000, Cut(1, Side::Workers, Mode::Hold)),
+        (0, 8_000, Cut(0, Side::Workers, LinkFault::Hold)),
+        (14_000, 22_000, Cut(1, Side::Workers, LinkFault::Hold)),
     ];
     vec![
         trapped(row("cancellations at an election", ends.clone()), &[(Election, 9, Cancel(6))]),
@@ -245,7 +251,7 @@
 
 fn rental_rows() -> Vec<Row> {
     let few_machines =
-        |row: Row| Row { machines: 3, habits: Habits { rentable: 24, ..row.habits }, ..row };
+        |row: Row| Row { machines: 3, habits: UserBehavior { rentable: 24, ..row.habits }, ..row };
     vec![
         few_machines(row(
             "rented machines boot together, slow state service, leaders end",
@@ -253,7 +259,11 @@
         )),
         few_machines(row(
             "rented machines boot together, late transactions, leaders end",
-            vec![(0, 40_000, Late), (4_000, 4_001, End(300)), (16_000, 16_001, End(8_000))],
+            vec![
+                (0, 40_000, LateTransactions),
+                (4_000, 4_001, End(300)),
+                (16_000, 16_001, End(8_000)),
+            ],
         )),
         trapped(
             few_machines(row(
@@ -264,19 +274,23 @@
         ),
         few_machines(row(
             "the cloud's answers are lost, leaders end",
-            vec![(0, 30_000, CloudMum), (5_000, 5_001, End(300)), (14_000, 14_001, AllEnd(300))],
+            vec![
+                (0, 30_000, CloudAnswersLost),
+                (5_000, 5_001, End(300)),
+                (14_000, 14_001, AllEnd(300)),
+            ],
         )),
     ]
 }
 
 fn load_rows() -> Vec<Row> {
-    let short = Habits { run: Duration::from_secs(6), ..HABITS };
-    let single = Habits {
-        every: Duration::from_millis(250),
+    let short = UserBehavior { run: Duration::from_secs(6), ..HABITS };
+    let single = UserBehavior {
+        submit_interval: Duration::from_millis(250),
         cancel: 3,
         mix: Mix::Single,
-        limit: 60,
-        odd: false,
+        max_team_cpus: 60,
+        invalid_jobs: false,
         ..short
     };
     let with_habits = |habits, row: Row| Row { habits, ..row };
@@ -304,17 +318,17 @@
         Row {
             machines: 5,
             ..with_habits(
-                Habits {
+                UserBehavior {
                     run: Duration::from_secs(12),
-                    every: Duration::from_millis(1_300),
+                    submit_interval: Duration::from_millis(1_300),
                     ..HABITS
                 },
                 row(
                     "more work than capacity, of several priorities, over slow links",
                     vec![
                         (0, 40_000, Slow(300)),
-                        (0, 40_000, Cut(0, Side::ToWorkers, Mode::Slow(1_500))),
-                        (0, 40_000, Cut(1, Side::Peers, Mode::Slow(400))),
+                        (0, 40_000, Cut(0, Side::ToWorkers, LinkFault::Slow(1_500))),
+                        (0, 40_000, Cut(1, Side::Peers, LinkFault::Slow(400))),
                         (15_000, 15_001, End(300)),
                     ],
                 ),
@@ -345,7 +359,7 @@
             };
             let name = format!("{}{variant}, {controllers} controllers", row.name);
             let out = scene.check(&name, 60 + i as u64);
-            assert!(out.sprung > 0 || row.traps.is_empty(), "{name}: no trap sprang");
+            assert!(out.triggered > 0 || row.traps.is_empty(), "{name}: no trap sprang");
             assert!(
                 out.rented.0 > 3 || row.habits.rentable == 0,
                 "{name}: no machines rented: {out:?}"
--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -11,22 +11,22 @@
 mod answers;
 mod checker;
 mod cloud;
-mod drawn;
-mod known;
+mod faults;
+mod known_jobs;
 mod machines;
-mod meetings;
 mod network;
-mod returns;
+mod overlapping_faults;
+mod random_scenes;
+mod restarts;
 mod scenes;
 mod schedules;
 mod services;
 mod stages;
-mod steps;
-mod troubles;
+mod triggers;
 mod users;
 mod workers;
 
-use checker::{CANCEL, Checker};
+use checker::{Checker, MAX_CANCEL_LINGER};
 use cloud::Cloud;
 use copperhaven::api;
 use copperhaven::cluster::frames::Op;
@@ -36,7 +36,7 @@
 use copperhaven::reply::Reply;
 use copperhaven_core::settings::Settings;
 use copperhaven_wire::jobs::JobStatus;
-use network::{Host, Mode, Network};
+use network::{Host, LinkFault, Network};
 use poem::http::Method;
 use poem::{Endpoint, Request};
 use services::{CLOUD, STATE, Store};
@@ -44,9 +44,9 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use steps::Trap;
 use tokio::time::{Instant, sleep};
-use users::{Habits, Mix, Users};
+use triggers::FaultTrigger;
+use users::{Mix, UserBehavior, Users};
 use workers::{Gangs, Worker};
 
 /// Controllers and everything that they talk to, for one test run.
@@ -76,17 +76,17 @@
     /// The emulated cloud.
     pub cloud: Mutex<Cloud>,
     /// Whether copies of workers' reports arrive again, up to three leases later.
-    pub copies: AtomicBool,
+    pub delayed_copies: AtomicBool,
     /// Whether copies of reports are kept for the next leader.
-    pub keeps: AtomicBool,
+    pub keep_reports: AtomicBool,
     /// The copies that are kept: the sender and the encoded report.
-    pub kept: Mutex<Vec<(Host, Vec<u8>)>>,
+    pub kept_reports: Mutex<Vec<(Host, Vec<u8>)>>,
     /// Faults to inject at given moments.
-    pub traps: Mutex<Vec<Trap>>,
+    pub fault_triggers: Mutex<Vec<FaultTrigger>>,
     /// How many faults were injected at such moments.
-    pub sprung: Mutex<usize>,
+    pub triggered: Mutex<usize>,
     /// What users do.
-    pub habits: Habits,
+    pub behavior: UserBehavior,
 }
 
 /// Measurements of one run.
@@ -97,9 +97,9 @@
     /// Task starts; a task that is started again counts again.
     pub started: usize,
     /// The longest time until a submission was accepted.
-    pub worst: Duration,
+    pub longest_submission: Duration,
     /// Submissions that were sent without being accepted.
-    pub refused: usize,
+    pub not_accepted: usize,
     /// Time without a leader after the first one was elected.
     pub leaderless: Duration,
     /// How often the leader changed.
@@ -109,15 +109,15 @@
     /// Jobs whose cancellation was reported to users.
     pub cancelled: usize,
     /// The longest time for which a task was still present after that.
-    pub lingered: Duration,
+    pub longest_after_cancel: Duration,
     /// Transactions that were carried out without an answer, at once or late.
-    pub late: u64,
+    pub unanswered_transactions: u64,
     /// Queries in bursts that were answered, and those that got no answer or a 5xx status.
-    pub looks: (usize, usize),
+    pub query_bursts: (usize, usize),
     /// Answers to invalid submissions.
-    pub bad: usize,
+    pub invalid_rejected: usize,
     /// Faults injected at given moments.
-    pub sprung: usize,
+    pub triggered: usize,
     /// Tasks that started after a confirmed cancellation, by orders that were in flight.
     pub started_late: usize,
     /// The longest time for which a job waited while free capacity for it existed.
@@ -170,7 +170,7 @@
 
     /// Starts a world with the default habits of users; see [`World::with`].
     pub async fn start(controllers: usize, machines: usize, seed: u64) -> Arc<World> {
-        World::with(controllers, machines, seed, Habits::default()).await
+        World::with(controllers, machines, seed, UserBehavior::default()).await
     }
 
     /// Starts a world in which all controllers and machines are up and users submit jobs.
@@ -178,7 +178,7 @@
         controllers: usize,
         machines: usize,
         seed: u64,
-        habits: Habits,
+        habits: UserBehavior,
     ) -> Arc<World> {
         let zones = vec!["north", "south", "west"];
         let net = Arc::new(Network::default());
@@ -186,8 +186,8 @@
             (0..machines).map(|n| Arc::new(Mutex::new(Worker::new(n, n % 3)))).collect();
         let nodes: Vec<Arc<Node>> = (0..controllers)
             .map(|ix| {
-                let settings = settings(controllers, ix, &zones, habits.limit);
-                Arc::new(Node::with_net(net.at(Host::Controller(ix)), settings))
+                let settings = settings(controllers, ix, &zones, habits.max_team_cpus);
+                Arc::new(Node::with_net(net.process_net(Host::Controller(ix)), settings))
             })
             .collect();
         let world = Arc::new_cyclic(|world| {
@@ -195,23 +195,23 @@
             services::open(&net, &store, world.clone());
             cloud::open(&net, &zones, world.clone());
             World {
-                settings: settings(controllers, 0, &zones, habits.limit),
+                settings: settings(controllers, 0, &zones, habits.max_team_cpus),
                 names: (0..controllers).map(|ix| format!("c-{ix}")).collect(),
                 zones,
                 store,
                 nodes: Mutex::new(nodes.clone()),
                 down: Mutex::default(),
-                checker: Mutex::new(Checker::new(habits.limit)),
-                habits,
+                checker: Mutex::new(Checker::new(habits.max_team_cpus)),
+                behavior: habits,
                 users: Mutex::default(),
                 gangs: Mutex::default(),
                 workers: Mutex::default(),
                 cloud: Mutex::new(Cloud::new(machines + habits.rentable)),
-                copies: Default::default(),
-                keeps: Default::default(),
-                kept: Mutex::default(),
-                traps: Mutex::default(),
-                sprung: Mutex::default(),
+                delayed_copies: Default::default(),
+                keep_reports: Default::default(),
+                kept_reports: Mutex::default(),
+                fault_triggers: Mutex::default(),
+                triggered: Mutex::default(),
                 net,
             }
         });
@@ -222,32 +222,32 @@
         for (n, worker) in provided.iter().enumerate() {
             world.provide(worker.clone(), seed * 1000 + n as u64);
         }
-        tokio::spawn(users::run(world.clone()));
+        tokio::spawn(users::run_time(world.clone()));
         world
     }
 
     /// Ends this controller's process without notice to anyone.
-    pub fn end(&self, ix: usize) {
+    pub fn end_process(&self, ix: usize) {
         self.down.lock().expect("lock").insert(ix);
         self.net.end(Host::Controller(ix));
     }
 
     /// Starts a controller again as a new process with the same settings.
-    pub fn back(&self, ix: usize) {
-        let settings = settings(self.count(), ix, &self.zones, self.habits.limit);
-        let node = Arc::new(Node::with_net(self.net.at(Host::Controller(ix)), settings));
+    pub fn restart(&self, ix: usize) {
+        let settings = settings(self.count(), ix, &self.zones, self.behavior.max_team_cpus);
+        let node = Arc::new(Node::with_net(self.net.process_net(Host::Controller(ix)), settings));
         self.nodes.lock().expect("lock")[ix] = node.clone();
         self.down.lock().expect("lock").remove(&ix);
         run_node(ix, node);
     }
 
     /// Ends a controller's process and restarts it after `restart_after_ms`.
-    pub fn end_for(self: &Arc<Self>, ix: usize, restart_after_ms: u64) {
-        self.end(ix);
+    pub fn end_and_restart(self: &Arc<Self>, ix: usize, restart_after_ms: u64) {
+        self.end_process(ix);
         let world = self.clone();
         tokio::spawn(async move {
             sleep(Duration::from_millis(restart_after_ms)).await;
-            world.back(ix);
+            world.restart(ix);
         });
     }
 
@@ -258,18 +258,18 @@
 
     /// Sends a request from outside to a controller. Returns the answer if it arrives and the same process still runs
     /// then.
-    pub async fn ask(&self, from: Host, to: usize, op: Op, body: &[u8]) -> Option<Reply> {
-        if !self.net.pass(from, Host::Controller(to)).await || self.is_down(to) {
+    pub async fn request(&self, from: Host, to: usize, op: Op, body: &[u8]) -> Option<Reply> {
+        if !self.net.deliver(from, Host::Controller(to)).await || self.is_down(to) {
             return None;
         }
         let node = self.node(to);
-        let reply = self.door(to, op, body).await;
+        let reply = self.handle_directly(to, op, body).await;
         let still_runs = !self.is_down(to) && Arc::ptr_eq(&node, &self.node(to));
-        (still_runs && self.net.pass(Host::Controller(to), from).await).then_some(reply)
+        (still_runs && self.net.deliver(Host::Controller(to), from).await).then_some(reply)
     }
 
     /// Hands a request to a controller's API routes, without the network.
-    pub async fn door(&self, to: usize, op: Op, body: &[u8]) -> Reply {
+    pub async fn handle_directly(&self, to: usize, op: Op, body: &[u8]) -> Reply {
         let id = String::from_utf8_lossy(body);
         let (method, path, body) = match op {
             Op::Submit => (Method::POST, "/api/jobs".to_string(), body),
@@ -299,7 +299,7 @@
 
     /// Returns the controller to which the load balancer sends the `n`th connection: one that is ready, if there is
     /// any.
-    pub fn balanced(&self, n: usize) -> usize {
+    pub fn pick_ready_controller(&self, n: usize) -> usize {
         let all = 0..self.count();
         let ready: Vec<usize> =
             all.filter(|ix| !self.is_down(*ix) && self.node(*ix).is_ready()).collect();
@@ -323,7 +323,7 @@
         let mut last = self.leader();
         while Instant::now() < end {
             sleep(Duration::from_millis(50)).await;
-            self.checker.lock().expect("lock").check(CANCEL);
+            self.checker.lock().expect("lock").check(MAX_CANCEL_LINGER);
             self.check_idle_capacity();
             let leaders = self.leaders();
             assert!(leaders.len() <= 1, "two leaders with authority: {leaders:?}");
@@ -341,20 +341,19 @@
     /// team is below its limit.
     fn check_idle_capacity(&self) {
         let users = self.users.lock().expect("lock");
-        assert!(users.wrong.is_empty(), "{:?}", users.wrong);
-        if self.habits.mix == Mix::Plain || users.calm.is_none() {
+        assert!(users.broken_rules.is_empty(), "{:?}", users.broken_rules);
+        if self.behavior.mix == Mix::Plain || users.faults_over_at.is_none() {
             return;
         }
         let mut allocated: Vec<(String, f64)> = vec![];
         let mut free = |w: &Arc<Mutex<Worker>>| {
             let w = w.lock().expect("lock");
             let (cpus, mem_gb) = w.free();
-            allocated.extend(w.held().map(|(task_id, cpus)| (task_id.clone(), cpus)));
+            allocated.extend(w.allocated().map(|(task_id, cpus)| (task_id.clone(), cpus)));
             (self.zones[w.zone], cpus, mem_gb)
         };
         let free: Vec<_> = self.workers.lock().expect("lock").iter().map(&mut free).collect();
-        let waiting =
-            self.checker.lock().expect("lock").look_for_idle(users.open(), &free, &allocated);
+        let waiting = self.checker.lock().expect("lock").find_idle(users.open(), &free, &allocated);
         let Some(uid) = waiting else { return };
         let job = self.leader().map(|ix| self.node(ix)).and_then(|node| {
             let term = node.leadership_status().0;
@@ -388,31 +387,32 @@
     }
 
     /// Copies into `out` what was counted since the start, or since `begin`.
-    pub fn sum(&self, out: &mut Outcome) {
+    pub fn collect(&self, out: &mut Outcome) {
         let checker = self.checker.lock().expect("lock");
         let users = self.users.lock().expect("lock");
         (out.killed, out.started) = (checker.killed, checker.started);
-        (out.cancelled, out.lingered) = (checker.cancelled.len(), checker.lingered);
-        (out.worst, out.refused) = (users.worst, users.refused);
-        (out.looks, out.bad, out.sprung) =
-            (users.looks, users.bad, *self.sprung.lock().expect("lock"));
+        (out.cancelled, out.longest_after_cancel) = (checker.cancelled.len(), checker.lingered);
+        (out.longest_submission, out.not_accepted) = (users.worst, users.refused);
+        (out.query_bursts, out.invalid_rejected, out.triggered) =
+            (users.query_bursts, users.bad, *self.triggered.lock().expect("lock"));
         (out.started_late, out.idle) = (checker.started_late, checker.idle_longest);
         let cloud = self.cloud.lock().expect("lock");
         out.rented = (cloud.booted, cloud.returned);
-        out.late = self.store.lock().expect("lock").were_late;
+        out.unanswered_transactions = self.store.lock().expect("lock").late_transactions;
         let longest_wait = users.waiting.values().map(Instant::elapsed).max().unwrap_or_default();
-        out.worst = out.worst.max(longest_wait);
-        let silent = users.accepted.keys().map(|uid| users.silence(uid)).max().unwrap_or_default();
+        out.longest_submission = out.longest_submission.max(longest_wait);
+        let silent =
+            users.accepted.keys().map(|uid| users.unanswered_for(uid)).max().unwrap_or_default();
         out.unanswered = users.unanswered.max(silent);
     }
 
     /// Marks the time from which on no fault is active any more.
-    pub fn calm(&self) {
-        self.users.lock().expect("lock").calm = Some(Instant::now());
+    pub fn mark_faults_over(&self) {
+        self.users.lock().expect("lock").faults_over_at = Some(Instant::now());
     }
 
     /// Resets the measurements of submissions and of killed tasks.
-    pub fn begin(&self) {
+    pub fn reset_measurements(&self) {
         let mut users = self.users.lock().expect("lock");
         (users.worst, users.refused) = (Duration::ZERO, 0);
         self.checker.lock().expect("lock").killed = 0;
@@ -420,8 +420,8 @@
 
     /// Runs on with all links intact, then checks that every accepted job is still known, that a job reported as done
     /// has all its tasks done by the workers' own count, and that only jobs cancelled by their users are aborted.
-    pub async fn settle(&self) {
-        let settle_time = Duration::from_secs(35) + self.habits.run;
+    pub async fn check_all_finish(&self) {
+        let settle_time = Duration::from_secs(35) + self.behavior.run;
         self.watch(settle_time, &mut Outcome::default()).await;
         let accepted: Vec<String> =
             self.users.lock().expect("lock").accepted.keys().cloned().collect();
@@ -430,11 +430,11 @@
             let reply = self.node(0).handle_request(Op::Show, uid.as_bytes()).await;
             assert_ne!(reply.status, 404, "forgotten: {uid}");
             let shown = rmp_serde::from_slice::<JobStatus>(&reply.body).expect("a job");
-            let (done, all) = self.checker.lock().expect("lock").done_of(uid);
+            let (done, all) = self.checker.lock().expect("lock").done_and_total(uid);
             match shown.status.as_str() {
                 "done" => assert_eq!(u64::from(done), all, "not_done: {uid}"),
                 "aborted" => {
-                    let asked = self.users.lock().expect("lock").asked.contains(uid);
+                    let asked = self.users.lock().expect("lock").cancel_requested.contains(uid);
                     assert!(asked, "went_back: {uid}, which nobody cancelled");
                 }
                 // Jobs of the last seconds.
@@ -456,7 +456,7 @@
 }
 
 /// Sets or lifts a cut of the links between two hosts in both directions.
-pub fn both(net: &Network, a: Host, b: Host, mode: Option<Mode>) {
+pub fn cut_both_ways(net: &Network, a: Host, b: Host, mode: Option<LinkFault>) {
     net.cut(a, b, mode);
     net.cut(b, a, mode);
 }
--- a/crates/controller/tests/world/network.rs
+++ b/crates/controller/tests/world/network.rs
@@ -27,7 +27,7 @@
 
 /// A fault of a link in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum LinkFault {
     /// Data arrives only when the link is intact again.
     Hold,
     /// Connections are refused, and open ones end.
@@ -51,7 +51,7 @@
 #[derive(Default)]
 pub struct Network {
     /// The faults that are active, by sender and receiver.
-    faults: Mutex<BTreeMap<(Host, Host), Mode>>,
+    faults: Mutex<BTreeMap<(Host, Host), LinkFault>>,
     /// Who listens at each address.
     listeners: Mutex<BTreeMap<String, (Host, Accept)>>,
     /// The end signal of the current process of each host whose process can end.
@@ -60,7 +60,7 @@
 
 impl Network {
     /// Sets the fault of a link in one direction, or lifts it.
-    pub fn cut(&self, from: Host, to: Host, mode: Option<Mode>) {
+    pub fn cut(&self, from: Host, to: Host, mode: Option<LinkFault>) {
         let mut faults = self.faults.lock().expect("lock");
         match mode {
             Some(mode) => faults.insert((from, to), mode),
@@ -69,7 +69,7 @@
     }
 
     /// Returns the fault of a link in one direction, if there is one.
-    pub fn mode(&self, from: Host, to: Host) -> Option<Mode> {
+    pub fn mode(&self, from: Host, to: Host) -> Option<LinkFault> {
         self.faults.lock().expect("lock").get(&(from, to)).copied()
     }
 
@@ -79,23 +79,23 @@
     }
 
     /// Waits until something sent now has arrived. Returns false if it was refused.
-    pub async fn pass(&self, from: Host, to: Host) -> bool {
+    pub async fn deliver(&self, from: Host, to: Host) -> bool {
         sleep(LATENCY).await;
         loop {
             match self.mode(from, to) {
                 None => return true,
-                Some(Mode::Refuse) => return false,
-                Some(Mode::Slow(ms)) => {
+                Some(LinkFault::Refuse) => return false,
+                Some(LinkFault::Slow(ms)) => {
                     sleep(Duration::from_millis(ms)).await;
                     return true;
                 }
-                Some(Mode::Hold) => sleep(HOLD_POLL_INTERVAL).await,
+                Some(LinkFault::Hold) => sleep(HOLD_POLL_INTERVAL).await,
             }
         }
     }
 
     /// Returns the network for a new process of this host, which replaces any earlier one.
-    pub fn at(self: &Arc<Self>, host: Host) -> Net {
+    pub fn process_net(self: &Arc<Self>, host: Host) -> Net {
         let end = Arc::new(watch::Sender::new(false));
         self.process_ends.lock().expect("lock").insert(host, end.clone());
         Net::Custom(Arc::new(HostDialer { net: self.clone(), host, end }))
@@ -129,7 +129,7 @@
                 () = wait_for_end(&ends[1]) => 0,
             };
             // A cut in mode `Hold` also holds back the end of a connection.
-            let arrived = self.pass(from, to).await;
+            let arrived = self.deliver(from, to).await;
             if n == 0 || !arrived || write.write_all(&buffer[..n]).await.is_err() {
                 let _ = write.shutdown().await;
                 return;
@@ -139,7 +139,7 @@
 
     /// Waits until the link refuses connections in this direction.
     async fn refused(&self, from: Host, to: Host) {
-        while self.mode(from, to) != Some(Mode::Refuse) {
+        while self.mode(from, to) != Some(LinkFault::Refuse) {
             sleep(Duration::from_millis(200)).await;
         }
     }
@@ -171,7 +171,7 @@
             let listener = net.listeners.lock().expect("lock").get(&addr).cloned();
             let (to, accept) = listener.ok_or_else(refused)?;
             // A connection takes one round trip before any data can be sent.
-            if !net.pass(from, to).await || !net.pass(to, from).await {
+            if !net.deliver(from, to).await || !net.deliver(to, from).await {
                 return Err(refused());
             }
             let remote_end = net.process_end(to);
--- a/crates/controller/tests/world/meetings.rs
+++ b/crates/controller/tests/world/overlapping_faults.rs
@@ -1,12 +1,12 @@
 //! Two failures that overlap while users cancel jobs (`docs/safety.md`, "Meetings"). The safety rules are checked at
 //! the workers at every step and at the users on every answer, never by what the service reports about itself.
 
-use crate::network::Mode;
+use crate::faults::Fault::{self, *};
+use crate::faults::set_fault;
+use crate::network::LinkFault;
 use crate::scenes::{Schedule, reversed, with_an_end};
 use crate::schedules::Side;
-use crate::troubles::Trouble::{self, *};
-use crate::troubles::begin;
-use crate::users::{Habits, Mix};
+use crate::users::{Mix, UserBehavior};
 use crate::{Outcome, World, run};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,14 +14,14 @@
 
 /// Long tasks, of which two thirds are cancelled: without the cancellation they would run longer than `cancel_s`. The
 /// teams' demand exceeds their limit.
-const HABITS: Habits = Habits {
-    every: Duration::from_millis(1_700),
+const HABITS: UserBehavior = UserBehavior {
+    submit_interval: Duration::from_millis(1_700),
     run: Duration::from_secs(90),
     cancel: 8,
-    limit: 100,
+    max_team_cpus: 100,
     mix: Mix::Plain,
-    looks: false,
-    odd: false,
+    query_bursts: false,
+    invalid_jobs: false,
     rentable: 0,
 };
 
@@ -31,12 +31,14 @@
     let mut out = Outcome::default();
     world.watch(Duration::from_secs(24), &mut Outcome::default()).await;
     let first_leader = world.leader().expect("no leader after 24 s");
-    world.begin();
-    world.play(schedule, &mut out, |trouble, on| begin(&world, first_leader, trouble, on)).await;
-    world.calm();
+    world.reset_measurements();
+    world
+        .play(schedule, &mut out, |trouble, on| set_fault(&world, first_leader, trouble, on))
+        .await;
+    world.mark_faults_over();
     world.watch(Duration::from_secs(40), &mut out).await;
-    world.sum(&mut out);
-    world.settle().await;
+    world.collect(&mut out);
+    world.check_all_finish().await;
     out
 }
 
@@ -55,7 +57,7 @@
 /// The state service refuses only the old leader, a new one confirms cancellations, and from `down_ms` on no controller
 /// reaches the state service for longer than `cancel_s`. Workers keep reporting to the old leader, which may be
 /// isolated from its peers.
-fn outage_after_isolation(isolation: &[Trouble], down_ms: u64) -> Schedule {
+fn outage_after_isolation(isolation: &[Fault], down_ms: u64) -> Schedule {
     let end = down_ms + 50_000;
     let old_leader = isolation.iter().map(|trouble| (0, end, *trouble));
     old_leader.chain([(down_ms, end, Down)]).collect()
@@ -63,22 +65,28 @@
 
 /// Ways to cut off the old leader. In the last two the workers receive responses from no other controller, so the old
 /// leader alone decides how long their tasks keep running.
-const ISOLATIONS: [(&str, &[Trouble]); 7] = [
-    ("state service refuses it", &[Refused(0)]),
-    ("state service refuses it, peers held", &[Refused(0), Cut(0, Side::Peers, Mode::Hold)]),
-    ("state service refuses it, peers refused", &[Refused(0), Cut(0, Side::Peers, Mode::Refuse)]),
+const ISOLATIONS: [(&str, &[Fault]); 7] = [
+    ("state service refuses it", &[StateRefused(0)]),
+    (
+        "state service refuses it, peers held",
+        &[StateRefused(0), Cut(0, Side::Peers, LinkFault::Hold)],
+    ),
+    (
+        "state service refuses it, peers refused",
+        &[StateRefused(0), Cut(0, Side::Peers, LinkFault::Refuse)],
+    ),
     (
         "state service held, peers held",
-        &[Cut(0, Side::State, Mode::Hold), Cut(0, Side::Peers, Mode::Hold)],
+        &[Cut(0, Side::State, LinkFault::Hold), Cut(0, Side::Peers, LinkFault::Hold)],
     ),
-    ("state service refuses it, receives nothing from peers", &[Refused(0), HearsNoPeer(0)]),
+    ("state service refuses it, receives nothing from peers", &[StateRefused(0), CutFromPeers(0)]),
     (
         "state service refuses it, peers held, workers receive from it alone",
-        &[Refused(0), Cut(0, Side::Peers, Mode::Hold), OnlyHeard(0)],
+        &[StateRefused(0), Cut(0, Side::Peers, LinkFault::Hold), OnlyLeaderReachesWorkers(0)],
     ),
     (
         "state service held, receives nothing from peers, workers receive from it alone",
-        &[Cut(0, Side::State, Mode::Hold), HearsNoPeer(0), OnlyHeard(0)],
+        &[Cut(0, Side::State, LinkFault::Hold), CutFromPeers(0), OnlyLeaderReachesWorkers(0)],
     ),
 ];
 
@@ -93,12 +101,13 @@
                 &outage_after_isolation(isolation, *down_ms),
                 seed,
             );
-            lingered.push(format!("{:.1}", out.lingered.as_secs_f64()));
-            longest = longest.max(out.lingered);
+            lingered.push(format!("{:.1}", out.longest_after_cancel.as_secs_f64()));
+            longest = longest.max(out.longest_after_cancel);
         }
         // The failure has come about: tasks ran on after the confirmed cancellation for most of the old leader's
         // renewal grace.
-        let only_heard = isolation.iter().any(|trouble| matches!(trouble, OnlyHeard(_)));
+        let only_heard =
+            isolation.iter().any(|trouble| matches!(trouble, OnlyLeaderReachesWorkers(_)));
         assert!(!only_heard || longest > Duration::from_secs(20), "{name}: {longest:?}");
         println!(
             "{name}, {controllers} controllers: cancelled tasks ran on for {} s",
@@ -118,7 +127,9 @@
     check_outages(5, &[3_500, 6_000], 4);
     // The controller that confirms loses the state service too, or ends; a third takes over and confirms; then the
     // state service is down for all.
-    for second in [Refused(1), Cut(1, Side::State, Mode::Hold), EndOf(1, 60_000), EndOf(1, 300)] {
+    for second in
+        [StateRefused(1), Cut(1, Side::State, LinkFault::Hold), EndOf(1, 60_000), EndOf(1, 300)]
+    {
         for (name, isolation) in ISOLATIONS {
             let mut schedule = outage_after_isolation(isolation, 12_000);
             schedule.push((5_000, 62_000, second));
@@ -129,8 +140,8 @@
 
 /// Failures that overlap; `docs/safety.md` lists the risk that each row covers.
 fn overlapping_failures() -> Vec<(&'static str, Schedule)> {
-    let leader_alone = |until: u64| vec![(0, until, Alone(0, Mode::Hold))];
-    let with = |mut schedule: Schedule, more: &[(u64, u64, Trouble)]| {
+    let leader_alone = |until: u64| vec![(0, until, OnlyWorkersAndUsers(0, LinkFault::Hold))];
+    let with = |mut schedule: Schedule, more: &[(u64, u64, Fault)]| {
         schedule.extend(more);
         schedule
     };
@@ -138,7 +149,7 @@
         (
             "old reports arrive across changes of leader",
             vec![
-                (0, 60_000, Copies),
+                (0, 60_000, LateReportCopies),
                 (8_000, 8_001, End(300)),
                 (26_000, 26_001, End(8_000)),
                 (44_000, 44_001, AllEnd(300)),
@@ -150,7 +161,11 @@
         ),
         (
             "a leader ends while a zone is unresponsive",
-            vec![(0, 40_000, Deaf(1)), (4_000, 4_001, End(8_000)), (22_000, 22_001, End(300))],
+            vec![
+                (0, 40_000, UnresponsiveZone(1)),
+                (4_000, 4_001, End(8_000)),
+                (22_000, 22_001, End(300)),
+            ],
         ),
         (
             "a zone becomes unreachable after the leader has ended",
@@ -175,24 +190,27 @@
         ),
         (
             "a leader with only workers and users, late copies of reports",
-            with(leader_alone(45_000), &[(0, 60_000, Copies)]),
+            with(leader_alone(45_000), &[(0, 60_000, LateReportCopies)]),
         ),
         (
             "slow responses, then slow links to the workers",
             vec![
-                (0, 12_000, Cut(0, Side::ToWorkers, Mode::Slow(3_700))),
-                (14_000, 25_000, Cut(0, Side::Workers, Mode::Slow(1_900))),
+                (0, 12_000, Cut(0, Side::ToWorkers, LinkFault::Slow(3_700))),
+                (14_000, 25_000, Cut(0, Side::Workers, LinkFault::Slow(1_900))),
             ],
         ),
         (
             "responses held while the leader ends",
-            vec![(0, 12_000, Cut(0, Side::ToWorkers, Mode::Hold)), (6_000, 6_001, EndOf(0, 300))],
+            vec![
+                (0, 12_000, Cut(0, Side::ToWorkers, LinkFault::Hold)),
+                (6_000, 6_001, EndOf(0, 300)),
+            ],
         ),
-        ("late transactions", vec![(0, 40_000, Late)]),
+        ("late transactions", vec![(0, 40_000, LateTransactions)]),
         (
             "late transactions, leaders end",
             vec![
-                (0, 40_000, Late),
+                (0, 40_000, LateTransactions),
                 (6_000, 6_001, End(50)),
                 (13_000, 13_001, End(8_000)),
                 (25_000, 25_001, AllEnd(300)),
@@ -200,26 +218,34 @@
         ),
         (
             "late transactions, leader refused, outage",
-            vec![(0, 40_000, Late), (8_000, 40_000, Refused(0)), (20_000, 38_000, Down)],
+            vec![
+                (0, 40_000, LateTransactions),
+                (8_000, 40_000, StateRefused(0)),
+                (20_000, 38_000, Down),
+            ],
         ),
         (
             "late transactions and two outages",
-            vec![(0, 40_000, Late), (7_000, 14_000, Down), (16_000, 24_000, Down)],
+            vec![(0, 40_000, LateTransactions), (7_000, 14_000, Down), (16_000, 24_000, Down)],
         ),
         (
             "slow state service, leader refused, outage",
-            vec![(0, 70_000, Slow(300)), (5_000, 70_000, Refused(0)), (12_000, 55_000, Down)],
+            vec![(0, 70_000, Slow(300)), (5_000, 70_000, StateRefused(0)), (12_000, 55_000, Down)],
         ),
         (
             "leader refused, outage, another controller ends",
-            vec![(0, 60_000, Refused(0)), (8_000, 58_000, Down), (20_000, 20_001, EndOf(1, 300))],
+            vec![
+                (0, 60_000, StateRefused(0)),
+                (8_000, 58_000, Down),
+                (20_000, 20_001, EndOf(1, 300)),
+            ],
         ),
         (
             "handovers back and forth",
             vec![
-                (0, 6_000, Cut(0, Side::Workers, Mode::Hold)),
-                (9_000, 16_000, Cut(1, Side::Workers, Mode::Hold)),
-                (19_000, 26_000, Cut(0, Side::Workers, Mode::Refuse)),
+                (0, 6_000, Cut(0, Side::Workers, LinkFault::Hold)),
+                (9_000, 16_000, Cut(1, Side::Workers, LinkFault::Hold)),
+                (19_000, 26_000, Cut(0, Side::Workers, LinkFault::Refuse)),
             ],
         ),
         (
@@ -243,13 +269,13 @@
                 "{name}, {controllers} controllers: killed {}, cancelled {} and ran on for {:.1} s, unanswered {:.1} s, changes {}, late {}",
                 out.killed,
                 out.cancelled,
-                out.lingered.as_secs_f64(),
+                out.longest_after_cancel.as_secs_f64(),
                 out.unanswered.as_secs_f64(),
                 out.changes,
-                out.late
+                out.unanswered_transactions
             );
-            let late = schedule.iter().any(|(.., trouble)| *trouble == Late);
-            assert!(!late || out.late > 5, "{name}: {out:?}");
+            let late = schedule.iter().any(|(.., trouble)| *trouble == LateTransactions);
+            assert!(!late || out.unanswered_transactions > 5, "{name}: {out:?}");
         }
         // Reversed, and with one more end of the leader: without the check for late transactions.
         check_schedule(&format!("{name}, reversed"), 3, &reversed(schedule), 8);
@@ -291,19 +317,23 @@
     let controllers = if rng.random_bool(0.7) { 3 } else { 5 };
     let random_trouble = |rng: &mut StdRng| {
         let n = rng.random_range(0..3);
-        let mode = [Mode::Hold, Mode::Refuse][rng.random_range(0..2)];
+        let mode = [LinkFault::Hold, LinkFault::Refuse][rng.random_range(0..2)];
         let back = [50, 300, 8_000][rng.random_range(0..3)];
         match rng.random_range(0..13) {
-            0 | 1 => Refused(n),
+            0 | 1 => StateRefused(n),
             2 => Cut(n, Side::State, mode),
             3 => Cut(n, Side::Peers, mode),
             4 => Cut(n, Side::Workers, mode),
-            5 => Cut(n, Side::ToWorkers, [Mode::Hold, Mode::Slow(3_500)][rng.random_range(0..2)]),
-            6 => HearsNoPeer(n),
+            5 => Cut(
+                n,
+                Side::ToWorkers,
+                [LinkFault::Hold, LinkFault::Slow(3_500)][rng.random_range(0..2)],
+            ),
+            6 => CutFromPeers(n),
             7 => Down,
-            8 => Late,
-            9 => Deaf(n),
-            10 => Copies,
+            8 => LateTransactions,
+            9 => UnresponsiveZone(n),
+            10 => LateReportCopies,
             11 => End(back),
             _ => AllEnd(back),
         }
@@ -316,10 +346,10 @@
             if matches!(trouble, End(_) | AllEnd(_)) { 1 } else { rng.random_range(2_000..50_000) };
         schedule.push((from, from + lasts, trouble));
         // A controller that loses the state service loses its peers as well in half of the cases.
-        if let Refused(n) | Cut(n, Side::State, _) = trouble
+        if let StateRefused(n) | Cut(n, Side::State, _) = trouble
             && rng.random_bool(0.5)
         {
-            schedule.push((from, from + lasts, Cut(n, Side::Peers, Mode::Hold)));
+            schedule.push((from, from + lasts, Cut(n, Side::Peers, LinkFault::Hold)));
         }
     }
     (controllers, schedule)
--- a/crates/controller/tests/world/drawn.rs
+++ b/crates/controller/tests/world/random_scenes.rs
@@ -1,47 +1,47 @@
 //! Random scenes: two to four overlapping failures and up to two traps, with a random mix of users and machines.
 
-use crate::network::Mode;
+use crate::faults::Fault::{self, *};
+use crate::network::LinkFault;
 use crate::scenes::{HABITS, Scene, Schedule};
 use crate::schedules::Side;
-use crate::steps::Act::{self, *};
-use crate::steps::Moment::{self, *};
-use crate::steps::Trap;
-use crate::troubles::Trouble::{self, *};
-use crate::users::{Habits, Mix};
+use crate::triggers::Action::{self, *};
+use crate::triggers::FaultTrigger;
+use crate::triggers::RequestKind::{self, *};
+use crate::users::{Mix, UserBehavior};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
 /// The requests on which a random trap may be set.
-const MOMENTS: [Moment; 8] =
+const MOMENTS: [RequestKind; 8] =
     [Election, JobsRead, Acceptance, Cancellation, FinalRecord, Assignments, FinishedTasks, Rental];
 
 fn pick<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
     choices[rng.random_range(0..choices.len())]
 }
 
-fn random_trouble(rng: &mut StdRng) -> Trouble {
+fn random_trouble(rng: &mut StdRng) -> Fault {
     let n = rng.random_range(0..3);
-    let mode = pick(rng, &[Mode::Hold, Mode::Refuse]);
+    let mode = pick(rng, &[LinkFault::Hold, LinkFault::Refuse]);
     let back = pick(rng, &[50, 300, 8_000, 20_000]);
     let hang = rng.random_range(0..25_000);
     match rng.random_range(0..24) {
-        0 | 1 => Refused(n),
+        0 | 1 => StateRefused(n),
         2 => Cut(n, Side::State, mode),
         3 => Cut(n, Side::Peers, mode),
         4 => Cut(n, Side::Workers, mode),
-        5 => Cut(n, Side::ToWorkers, pick(rng, &[Mode::Hold, Mode::Slow(3_500)])),
-        6 => HearsNoPeer(n),
+        5 => Cut(n, Side::ToWorkers, pick(rng, &[LinkFault::Hold, LinkFault::Slow(3_500)])),
+        6 => CutFromPeers(n),
         7 => Down,
-        8 => Late,
+        8 => LateTransactions,
         9 | 10 => LostAnswers,
-        11 => Deaf(n),
-        12 => Copies,
-        13 => Mute(n),
+        11 => UnresponsiveZone(n),
+        12 => LateReportCopies,
+        13 => SilentZone(n),
         14 => Hang(hang),
         15 | 16 => CancelNow(rng.random_range(4..16), hang),
-        17 => KeptForNext,
-        18 => Island(n, rng.random_range(0..3)),
+        17 => ReportsKeptForNextLeader,
+        18 => IsolatedZone(n, rng.random_range(0..3)),
         19 => CutOff(n),
         20 => Slow(rng.random_range(50..600)),
         21 => AllEnd(back),
@@ -49,10 +49,10 @@
     }
 }
 
-fn random_trap(rng: &mut StdRng) -> Trap {
+fn random_trap(rng: &mut StdRng) -> FaultTrigger {
     let time = rng.random_range(500..40_000);
     let back = pick(rng, &[50, 300, 8_000]);
-    let act: Act = match rng.random_range(0..10) {
+    let act: Action = match rng.random_range(0..10) {
         0 | 1 => LoseAnswer,
         2 => Delay(time / 4),
         3 => LoseAndRefuse(time),
@@ -63,7 +63,7 @@
         8 => LosePeers(time),
         _ => LoseWorkers(time / 2),
     };
-    Trap { at: pick(rng, &MOMENTS), times: rng.random_range(1..4), act }
+    FaultTrigger { at: pick(rng, &MOMENTS), times: rng.random_range(1..4), act }
 }
 
 /// Plays the scene drawn from this seed; the safety rules are checked while it runs.
@@ -79,16 +79,17 @@
         };
         schedule.push((from, from + lasts, trouble));
     }
-    let traps: Vec<Trap> = (0..rng.random_range(0..3)).map(|_| random_trap(&mut rng)).collect();
+    let traps: Vec<FaultTrigger> =
+        (0..rng.random_range(0..3)).map(|_| random_trap(&mut rng)).collect();
     let looks = rng.random_bool(0.4);
-    let habits = Habits {
+    let habits = UserBehavior {
         run: Duration::from_secs(pick(&mut rng, &[8, 20, 40])),
-        limit: pick(&mut rng, &[24, 40, 80]),
+        max_team_cpus: pick(&mut rng, &[24, 40, 80]),
         cancel: pick(&mut rng, &[3, 6, 8]),
         mix: pick(&mut rng, &[Mix::All, Mix::All, Mix::All, Mix::Single]),
         rentable: pick(&mut rng, &[0, 12]),
-        odd: rng.random_bool(0.3),
-        looks,
+        invalid_jobs: rng.random_bool(0.3),
+        query_bursts: looks,
         ..HABITS
     };
     let machines = if habits.rentable > 0 { 6 } else { 18 };
--- a/crates/controller/tests/world/returns.rs
+++ b/crates/controller/tests/world/restarts.rs
@@ -2,8 +2,8 @@
 //! meanwhile. The leader key of a process that has ended delays the next election no longer than the process takes to
 //! restart.
 
-use crate::network::{Host, Mode};
-use crate::{Outcome, World, both, run};
+use crate::network::{Host, LinkFault};
+use crate::{Outcome, World, cut_both_ways, run};
 use copperhaven::leadership;
 use copperhaven::node::Node;
 use copperhaven::peers;
@@ -98,21 +98,23 @@
     let world = World::start(3, 36, seed).await;
     let mut out = Outcome::default();
     world.watch(Duration::from_secs(14), &mut Outcome::default()).await;
-    world.begin();
+    world.reset_measurements();
     let leader = world.leader().expect("no leader after 14 s");
     let followers: Vec<usize> = (0..3).filter(|ix| *ix != leader).collect();
     let cut = |mode| {
         for ix in &followers {
             match row.follower_cut {
                 FollowerCut::Nothing => {}
-                FollowerCut::State => both(&world.net, Host::Controller(*ix), Host::State, mode),
+                FollowerCut::State => {
+                    cut_both_ways(&world.net, Host::Controller(*ix), Host::State, mode)
+                }
                 FollowerCut::Peers => (0..3).filter(|peer| peer != ix).for_each(|peer| {
-                    both(&world.net, Host::Controller(*ix), Host::Controller(peer), mode);
+                    cut_both_ways(&world.net, Host::Controller(*ix), Host::Controller(peer), mode);
                 }),
             }
         }
     };
-    cut(Some(Mode::Hold));
+    cut(Some(LinkFault::Hold));
     let mut now_ms = 0;
     for (at_ms, target) in row.ends {
         world.watch(Duration::from_millis(at_ms.saturating_sub(now_ms)), &mut out).await;
@@ -125,13 +127,13 @@
             All => vec![0, 1, 2],
         };
         for ix in ending {
-            world.end_for(ix, row.back_ms);
+            world.end_and_restart(ix, row.back_ms);
         }
     }
     world.watch(Duration::from_secs(row.watch_s), &mut out).await;
     cut(None);
-    world.sum(&mut out);
-    world.settle().await;
+    world.collect(&mut out);
+    world.check_all_finish().await;
     out
 }
 
@@ -143,7 +145,7 @@
             "{}: killed {}, worst submission {:.1} s, without a leader {:.2} s, changes {}",
             row.name,
             out.killed,
-            out.worst.as_secs_f64(),
+            out.longest_submission.as_secs_f64(),
             out.leaderless.as_secs_f64(),
             out.changes
         );
@@ -154,7 +156,11 @@
             "{}: {out:?}",
             row.name
         );
-        assert!(out.worst <= Duration::from_secs(row.submit_s), "{}: {out:?}", row.name);
+        assert!(
+            out.longest_submission <= Duration::from_secs(row.submit_s),
+            "{}: {out:?}",
+            row.name
+        );
     }
 }
 
@@ -181,7 +187,10 @@
                 out.leaderless <= Duration::from_millis(row.leaderless_ms),
                 "{again_ms}: {out:?}"
             );
-            assert!(out.worst <= Duration::from_secs(row.submit_s), "{again_ms}: {out:?}");
+            assert!(
+                out.longest_submission <= Duration::from_secs(row.submit_s),
+                "{again_ms}: {out:?}"
+            );
         }
     }
 }
@@ -194,10 +203,10 @@
         let world = World::start(3, 36, 4).await;
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(14), &mut Outcome::default()).await;
-        world.begin();
+        world.reset_measurements();
         let first = world.leader().expect("no leader after 14 s");
-        let settings = crate::settings(3, first, &world.zones, world.habits.limit);
-        let twin = Arc::new(Node::with_net(world.net.at(Host::Controller(9)), settings));
+        let settings = crate::settings(3, first, &world.zones, world.behavior.max_team_cpus);
+        let twin = Arc::new(Node::with_net(world.net.process_net(Host::Controller(9)), settings));
         peers::maintain_links(&twin);
         tokio::spawn(leadership::run(twin.clone()));
         let watch = async |seconds: u32, out: &mut Outcome| {
@@ -216,16 +225,18 @@
         let peers = (0..3).filter(|ix| *ix != first).map(Host::Controller);
         let hosts: Vec<Host> = services.into_iter().chain(zones).chain(peers).collect();
         let hang = |mode| {
-            hosts.iter().for_each(|host| both(&world.net, Host::Controller(first), *host, mode))
+            hosts
+                .iter()
+                .for_each(|host| cut_both_ways(&world.net, Host::Controller(first), *host, mode))
         };
-        hang(Some(Mode::Hold));
+        hang(Some(LinkFault::Hold));
         watch(60, &mut out).await;
         hang(None);
         watch(20, &mut out).await;
-        world.sum(&mut out);
-        world.settle().await;
+        world.collect(&mut out);
+        world.check_all_finish().await;
         out
     });
     assert_eq!(out.killed, 0, "{out:?}");
-    assert!(out.worst <= Duration::from_secs(9), "{out:?}");
+    assert!(out.longest_submission <= Duration::from_secs(9), "{out:?}");
 }
--- a/crates/controller/tests/world/scenes.rs
+++ b/crates/controller/tests/world/scenes.rs
@@ -1,14 +1,14 @@
 //! A scene: a world with users, workers and controllers in which a schedule of failures is played and traps are set,
 //! and what must hold afterwards.
 
-use crate::steps::Trap;
-use crate::troubles::{Trouble, begin};
-use crate::users::{Habits, Mix};
+use crate::faults::{Fault, set_fault};
+use crate::triggers::FaultTrigger;
+use crate::users::{Mix, UserBehavior};
 use crate::{Outcome, World, run};
 use std::time::Duration;
 
 /// Failures with their start and end, in milliseconds from the start of the schedule.
-pub type Schedule = Vec<(u64, u64, Trouble)>;
+pub type Schedule = Vec<(u64, u64, Fault)>;
 
 /// The parameters of one run.
 #[derive(Clone, Copy)]
@@ -18,30 +18,30 @@
     /// Number of machines at the start; rented ones are counted in `habits`.
     pub machines: usize,
     /// What users submit, query and cancel.
-    pub habits: Habits,
+    pub habits: UserBehavior,
     /// The failures to play.
-    pub schedule: &'a [(u64, u64, Trouble)],
+    pub schedule: &'a [(u64, u64, Fault)],
     /// Faults injected at requests to the state service, from the first failure to 30 s after the last.
-    pub traps: &'a [Trap],
+    pub traps: &'a [FaultTrigger],
     /// Tasks that have to be started for the scene to show anything.
     pub min_started: usize,
 }
 
 /// Users that submit all kinds of jobs, query all controllers closely and send invalid jobs.
-pub const HABITS: Habits = Habits {
-    every: Duration::from_millis(900),
+pub const HABITS: UserBehavior = UserBehavior {
+    submit_interval: Duration::from_millis(900),
     run: Duration::from_secs(18),
     cancel: 5,
-    limit: 60,
+    max_team_cpus: 60,
     mix: Mix::All,
-    looks: true,
-    odd: true,
+    query_bursts: true,
+    invalid_jobs: true,
     rentable: 0,
 };
 
 impl<'a> Scene<'a> {
     /// Returns a scene with three controllers, 18 machines, `HABITS` and no traps.
-    pub fn of(schedule: &'a [(u64, u64, Trouble)]) -> Scene<'a> {
+    pub fn of(schedule: &'a [(u64, u64, Fault)]) -> Scene<'a> {
         Scene {
             controllers: 3,
             machines: 18,
@@ -59,18 +59,20 @@
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(35), &mut Outcome::default()).await;
         let first_leader = world.leader().expect("no leader after 35 s");
-        world.begin();
-        world.traps.lock().expect("lock").extend(self.traps);
+        world.reset_measurements();
+        world.fault_triggers.lock().expect("lock").extend(self.traps);
         world
-            .play(self.schedule, &mut out, |trouble, on| begin(&world, first_leader, trouble, on))
+            .play(self.schedule, &mut out, |trouble, on| {
+                set_fault(&world, first_leader, trouble, on)
+            })
             .await;
-        world.users.lock().expect("lock").enough = true;
+        world.users.lock().expect("lock").submissions_stopped = true;
         world.watch(Duration::from_secs(30), &mut out).await;
-        world.traps.lock().expect("lock").clear();
-        world.calm();
+        world.fault_triggers.lock().expect("lock").clear();
+        world.mark_faults_over();
         world.watch(Duration::from_secs(100), &mut out).await;
-        world.sum(&mut out);
-        world.settle().await;
+        world.collect(&mut out);
+        world.check_all_finish().await;
         out
     }
 
@@ -85,18 +87,18 @@
         assert!(out.unanswered <= Duration::from_secs(20), "{name}: {out:?}");
         println!(
             "{name}: answers {} and {} deferred, killed {}, cancelled {} and ran on for {:.1} s, started after that {}, unanswered {:.1} s, idle {:.1} s, changes {}, traps sprung {}, transactions without answer {}, invalid jobs rejected {}, rented {}",
-            out.looks.0,
-            out.looks.1,
+            out.query_bursts.0,
+            out.query_bursts.1,
             out.killed,
             out.cancelled,
-            out.lingered.as_secs_f64(),
+            out.longest_after_cancel.as_secs_f64(),
             out.started_late,
             out.unanswered.as_secs_f64(),
             out.idle.as_secs_f64(),
             out.changes,
-            out.sprung,
-            out.late,
-            out.bad,
+            out.triggered,
+            out.unanswered_transactions,
+            out.invalid_rejected,
             out.rented.0
         );
         out
@@ -113,6 +115,6 @@
 pub fn with_an_end(schedule: &Schedule) -> Schedule {
     let end = schedule.iter().map(|(_, until, _)| *until).max().unwrap_or_default();
     let mut out = schedule.clone();
-    out.push((end / 2, end / 2 + 1, Trouble::End(300)));
+    out.push((end / 2, end / 2 + 1, Fault::End(300)));
     out
 }
--- a/crates/controller/tests/world/schedules.rs
+++ b/crates/controller/tests/world/schedules.rs
@@ -1,8 +1,8 @@
 //! Tables of link cuts, and what must keep working during each: no task is killed by an expired lease, and submissions
 //! are answered within seconds.
 
-use crate::network::{Host, Mode};
-use crate::{Outcome, World, both, run};
+use crate::network::{Host, LinkFault};
+use crate::{Outcome, World, cut_both_ways, run};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -34,26 +34,26 @@
     duration_s: u64,
     target: Target,
     side: Side,
-    mode: Mode,
+    mode: LinkFault,
 }
 
-const fn cut(start_s: u64, duration_s: u64, target: Target, side: Side, mode: Mode) -> Cut {
+const fn cut(start_s: u64, duration_s: u64, target: Target, side: Side, mode: LinkFault) -> Cut {
     Cut { start_s, duration_s, target, side, mode }
 }
 
 /// Cuts these links of a controller, or makes them whole again without a mode.
-pub(super) fn set(world: &World, controller: usize, side: Side, mode: Option<Mode>) {
+pub(super) fn set_links(world: &World, controller: usize, side: Side, mode: Option<LinkFault>) {
     let (net, host) = (&world.net, Host::Controller(controller));
     let zones = 0..world.zones.len();
     match side {
-        Side::State => both(net, host, Host::State, mode),
-        Side::Cloud => both(net, host, Host::Cloud, mode),
-        Side::Users => both(net, host, Host::Users, mode),
-        Side::Workers => zones.for_each(|zone| both(net, host, Host::Workers(zone), mode)),
+        Side::State => cut_both_ways(net, host, Host::State, mode),
+        Side::Cloud => cut_both_ways(net, host, Host::Cloud, mode),
+        Side::Users => cut_both_ways(net, host, Host::Users, mode),
+        Side::Workers => zones.for_each(|zone| cut_both_ways(net, host, Host::Workers(zone), mode)),
         Side::ToWorkers => zones.for_each(|zone| net.cut(host, Host::Workers(zone), mode)),
         Side::FromWorkers => zones.for_each(|zone| net.cut(Host::Workers(zone), host, mode)),
         Side::Peers => (0..world.count()).filter(|peer| *peer != controller).for_each(|peer| {
-            both(net, host, Host::Controller(peer), mode);
+            cut_both_ways(net, host, Host::Controller(peer), mode);
         }),
     }
 }
@@ -64,23 +64,23 @@
     let mut out = Outcome::default();
     world.watch(Duration::from_secs(14), &mut Outcome::default()).await;
     let leader = world.leader().expect("no leader after 14 s");
-    world.begin();
+    world.reset_measurements();
     let index_of = |target: Target| (leader + target as usize) % controllers;
     let schedule_ms: Vec<(u64, u64, Cut)> = cuts
         .iter()
         .map(|cut| (cut.start_s * 1000, (cut.start_s + cut.duration_s) * 1000, *cut))
         .collect();
     let apply = |cut: Cut, active: bool| {
-        set(&world, index_of(cut.target), cut.side, active.then_some(cut.mode));
+        set_links(&world, index_of(cut.target), cut.side, active.then_some(cut.mode));
     };
     world.play(&schedule_ms, &mut out, apply).await;
     world.watch(Duration::from_secs(20), &mut out).await;
-    world.sum(&mut out);
-    world.settle().await;
+    world.collect(&mut out);
+    world.check_all_finish().await;
     out
 }
 
-use Mode::*;
+use LinkFault::*;
 use Side::*;
 use Target::*;
 
@@ -149,14 +149,14 @@
         println!(
             "{name}: killed {}, worst submission {:.1} s, turned away {}, without a leader {:.1} s, changes {}",
             out.killed,
-            out.worst.as_secs_f64(),
-            out.refused,
+            out.longest_submission.as_secs_f64(),
+            out.not_accepted,
             out.leaderless.as_secs_f64(),
             out.changes
         );
         assert_eq!(out.killed, 0, "{name}: {out:?}");
         assert!(out.started > 100, "{name}: {out:?}");
-        assert!(out.worst <= Duration::from_secs(submit_s), "{name}: {out:?}");
+        assert!(out.longest_submission <= Duration::from_secs(submit_s), "{name}: {out:?}");
         assert!(out.changes <= changes, "{name}: {out:?}");
         assert!(out.leaderless <= Duration::from_secs(leaderless_s), "{name}: {out:?}");
     }
@@ -221,8 +221,8 @@
         if out.killed > 0 {
             killed.push((name.clone(), out.killed));
         }
-        if out.worst > Duration::from_secs(8) {
-            late.push((name, out.worst));
+        if out.longest_submission > Duration::from_secs(8) {
+            late.push((name, out.longest_submission));
         }
     }
     println!("{} schedules; tasks killed: {killed:#?}\nslow submissions: {late:#?}", all.len());
@@ -247,14 +247,14 @@
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(14), &mut Outcome::default()).await;
         let leader = world.leader().expect("no leader after 14 s");
-        world.begin();
+        world.reset_measurements();
         let minority = [leader, (leader + 1) % 5];
         let majority: Vec<usize> = (0..5).filter(|c| !minority.contains(c)).collect();
-        let split = |mode: Option<Mode>| {
+        let split = |mode: Option<LinkFault>| {
             for a in &majority {
-                both(&world.net, Host::Controller(*a), Host::State, mode);
+                cut_both_ways(&world.net, Host::Controller(*a), Host::State, mode);
                 for b in minority {
-                    both(&world.net, Host::Controller(*a), Host::Controller(b), mode);
+                    cut_both_ways(&world.net, Host::Controller(*a), Host::Controller(b), mode);
                 }
             }
         };
@@ -262,10 +262,10 @@
         world.watch(Duration::from_secs(40), &mut out).await;
         split(None);
         world.watch(Duration::from_secs(20), &mut out).await;
-        world.sum(&mut out);
-        world.settle().await;
+        world.collect(&mut out);
+        world.check_all_finish().await;
         out
     });
     assert_eq!((out.killed, out.changes), (0, 0), "{out:?}");
-    assert!(out.worst <= Duration::from_secs(8), "{out:?}");
+    assert!(out.longest_submission <= Duration::from_secs(8), "{out:?}");
 }
--- a/crates/controller/tests/world/services.rs
+++ b/crates/controller/tests/world/services.rs
@@ -2,7 +2,7 @@
 
 use crate::World;
 use crate::network::{Host, Network};
-use crate::steps::Fate;
+use crate::triggers::RequestHandling;
 use copperhaven_wire::encode;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -65,7 +65,7 @@
     /// Whether there is an outage.
     down: bool,
     /// Controllers whose requests get 503.
-    pub refuses: BTreeSet<usize>,
+    pub refused_controllers: BTreeSet<usize>,
     /// Percentage of transactions that get no answer and are carried out 2 to 12 s later, or at once.
     pub late: u64,
     /// Whether such transactions are carried out at once.
@@ -73,7 +73,7 @@
     /// Transactions so far.
     commits: u64,
     /// Transactions that got no answer.
-    pub were_late: u64,
+    pub late_transactions: u64,
 }
 
 #[derive(Deserialize)]
@@ -129,7 +129,7 @@
         if self.down || self.commits * 37 % 100 >= self.late {
             return None;
         }
-        self.were_late += 1;
+        self.late_transactions += 1;
         Some(match self.at_once {
             true => Duration::ZERO,
             false => Duration::from_millis(2_000 + self.commits * 1_709 % 10_000),
@@ -246,21 +246,21 @@
         serve(io, move |method, path, body| {
             let fate = match (from, world.upgrade()) {
                 (Host::Controller(ix), Some(world)) if ix < world.count() => {
-                    if store.lock().expect("lock").refuses.contains(&ix) {
+                    if store.lock().expect("lock").refused_controllers.contains(&ix) {
                         return Some((503, json!({})));
                     }
-                    world.at_store(ix, method, path, body)
+                    world.on_state_request(ix, method, path, body)
                 }
-                _ => Fate::Answer,
+                _ => RequestHandling::Answer,
             };
             let mut s = store.lock().expect("lock");
             let delay = match fate {
-                Fate::Answer if path == "/commit" => s.delay(),
-                Fate::Answer => None,
-                Fate::Refuse => return Some((503, json!({}))),
-                Fate::Gone => return None,
-                Fate::Silent(delay) => {
-                    s.were_late += 1;
+                RequestHandling::Answer if path == "/commit" => s.delay(),
+                RequestHandling::Answer => None,
+                RequestHandling::Refuse => return Some((503, json!({}))),
+                RequestHandling::NotReceived => return None,
+                RequestHandling::Silent(delay) => {
+                    s.late_transactions += 1;
                     Some(delay)
                 }
             };
--- a/crates/controller/tests/world/stages.rs
+++ b/crates/controller/tests/world/stages.rs
@@ -1,8 +1,8 @@
 //! Packs (one stored value with the assignments of several machines) are enabled once all controllers have recorded the
 //! ability, and not before. Assignments then move into packs while controllers end and restart.
 
-use crate::network::{Host, Mode};
-use crate::{Outcome, World, both, run};
+use crate::network::{Host, LinkFault};
+use crate::{Outcome, World, cut_both_ways, run};
 use std::time::Duration;
 
 /// Returns the number of keys with this prefix at the state service.
@@ -15,16 +15,16 @@
     let out = run(async {
         let world = World::start(3, 36, 6).await;
         // Ends before it has recorded its abilities.
-        world.end(2);
+        world.end_process(2);
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(20), &mut Outcome::default()).await;
-        world.begin();
+        world.reset_measurements();
         let leader = world.leader().expect("no leader after 20 s");
         assert!(
             count_keys(&world, "m/") > 20 && count_keys(&world, "p/") == 0,
             "expected no packs yet: c-2 has recorded no abilities"
         );
-        world.back(2);
+        world.restart(2);
         // Four machines move into packs with each tick of 100 ms. The leader ends during the move, and so does its
         // successor.
         for _ in 0..40 {
@@ -36,14 +36,14 @@
         assert!(count_keys(&world, "p/") > 0, "packs are not enabled");
         for ix in [leader, (leader + 1) % 3] {
             world.watch(Duration::from_millis(150), &mut out).await;
-            world.end(ix);
+            world.end_process(ix);
             world.watch(Duration::from_millis(300), &mut out).await;
-            world.back(ix);
+            world.restart(ix);
         }
         // One controller loses the state service meanwhile.
-        both(&world.net, Host::Controller(2), Host::State, Some(Mode::Hold));
+        cut_both_ways(&world.net, Host::Controller(2), Host::State, Some(LinkFault::Hold));
         world.watch(Duration::from_secs(20), &mut out).await;
-        both(&world.net, Host::Controller(2), Host::State, None);
+        cut_both_ways(&world.net, Host::Controller(2), Host::State, None);
         world.watch(Duration::from_secs(5), &mut out).await;
         assert_eq!(count_keys(&world, "m/"), 0, "machines left outside packs");
         assert!(
@@ -51,10 +51,10 @@
             "{} packs",
             count_keys(&world, "p/")
         );
-        world.sum(&mut out);
-        world.settle().await;
+        world.collect(&mut out);
+        world.check_all_finish().await;
         out
     });
     assert_eq!(out.killed, 0, "{out:?}");
-    assert!(out.worst <= Duration::from_secs(7), "{out:?}");
+    assert!(out.longest_submission <= Duration::from_secs(7), "{out:?}");
 }
--- a/crates/controller/tests/world/steps.rs
+++ b/crates/controller/tests/world/triggers.rs
@@ -2,8 +2,8 @@
 //! (`Act`) at exactly that request. Faults at a critical step so come about in each run, not by chance.
 
 use crate::World;
-use crate::network::{Host, Mode};
-use crate::schedules::{Side, set};
+use crate::network::{Host, LinkFault};
+use crate::schedules::{Side, set_links};
 use copperhaven::cluster::frames::Op;
 use serde_json::Value;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 /// The kind of a controller's request to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moment {
+pub enum RequestKind {
     /// The term is raised and the leader key written.
     Election,
     /// A new leader reads the job records.
@@ -33,9 +33,9 @@
     Stage,
 }
 
-use Moment::*;
+use RequestKind::*;
 
-impl Moment {
+impl RequestKind {
     /// Returns the keys that a transaction puts, and their values.
     fn puts(body: &[u8]) -> Vec<(String, Value)> {
         let body: Value = rmp_serde::from_slice(body).unwrap_or_default();
@@ -46,15 +46,15 @@
 
     /// Returns the kind of a request, if it has one. A transaction that puts several kinds of records counts as the
     /// first of the order below.
-    pub fn of(method: &str, path: &str, body: &[u8]) -> Option<Moment> {
+    pub fn of(method: &str, path: &str, body: &[u8]) -> Option<RequestKind> {
         if method == "GET" {
             return path.starts_with("/store?prefix=j/").then_some(JobsRead);
         }
         if path != "/commit" {
             return None;
         }
-        let puts = Moment::puts(body);
-        let is = |moment: Moment| {
+        let puts = RequestKind::puts(body);
+        let is = |moment: RequestKind| {
             puts.iter().any(|(key, value)| match moment {
                 Election => key == "c/term",
                 Stage => key == "c/stages" || key.starts_with("c/can/"),
@@ -75,7 +75,7 @@
 
 /// The fault injected at a request. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// The request is carried out and its answer is lost.
     LoseAnswer,
     /// The request is carried out after this time, without an answer.
@@ -100,24 +100,24 @@
     /// Users cancel this many running jobs at once.
     Cancel(usize),
     /// The kept copies of reports are delivered to every controller.
-    Release,
+    DeliverKeptReports,
     /// Users query, resubmit and cancel the jobs whose final records are being written, at all controllers.
     QueryEnding,
 }
 
 /// Applies a fault to the next `times` requests of one kind.
 #[derive(Debug, Clone, Copy)]
-pub struct Trap {
+pub struct FaultTrigger {
     /// The kind of request that triggers the fault.
-    pub at: Moment,
+    pub at: RequestKind,
     /// How often it triggers.
     pub times: u32,
     /// The fault.
-    pub act: Act,
+    pub act: Action,
 }
 
 /// How the state service handles a request.
-pub enum Fate {
+pub enum RequestHandling {
     /// Carries it out and answers.
     Answer,
     /// Answers with a refusal.
@@ -125,7 +125,7 @@
     /// Carries it out after this time and never answers.
     Silent(Duration),
     /// Never receives it.
-    Gone,
+    NotReceived,
 }
 
 fn ms(n: u64) -> Duration {
@@ -143,90 +143,92 @@
 
 /// Lets the state service refuse this controller for this many milliseconds.
 fn refuse(world: &Arc<World>, controller: usize, time_ms: u64) {
-    world.store.lock().expect("lock").refuses.insert(controller);
+    world.store.lock().expect("lock").refused_controllers.insert(controller);
     run_after(world, time_ms, move |w| {
-        w.store.lock().expect("lock").refuses.remove(&controller);
+        w.store.lock().expect("lock").refused_controllers.remove(&controller);
     });
 }
 
 /// Cuts these links of this controller for this many milliseconds.
 fn cut(world: &Arc<World>, controller: usize, side: Side, time_ms: u64) {
-    set(world, controller, side, Some(Mode::Hold));
-    run_after(world, time_ms, move |w| set(w, controller, side, None));
+    set_links(world, controller, side, Some(LinkFault::Hold));
+    run_after(world, time_ms, move |w| set_links(w, controller, side, None));
 }
 
 impl World {
     /// Springs the trap that is set for this request of a controller, if there is one. Returns how the state service
     /// handles the request.
-    pub fn at_store(
+    pub fn on_state_request(
         self: &Arc<Self>,
         controller: usize,
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> Fate {
-        let Some(moment) = Moment::of(method, path, body) else { return Fate::Answer };
+    ) -> RequestHandling {
+        let Some(moment) = RequestKind::of(method, path, body) else {
+            return RequestHandling::Answer;
+        };
         let act = {
-            let mut traps = self.traps.lock().expect("lock");
+            let mut traps = self.fault_triggers.lock().expect("lock");
             let Some(trap) = traps.iter_mut().find(|trap| trap.at == moment && trap.times > 0)
             else {
-                return Fate::Answer;
+                return RequestHandling::Answer;
             };
             trap.times -= 1;
-            *self.sprung.lock().expect("lock") += 1;
+            *self.triggered.lock().expect("lock") += 1;
             trap.act
         };
         match act {
-            Act::LoseAnswer => Fate::Silent(Duration::ZERO),
-            Act::Delay(time) => Fate::Silent(ms(time)),
-            Act::Refuse(time) => {
+            Action::LoseAnswer => RequestHandling::Silent(Duration::ZERO),
+            Action::Delay(time) => RequestHandling::Silent(ms(time)),
+            Action::Refuse(time) => {
                 refuse(self, controller, time);
-                Fate::Refuse
+                RequestHandling::Refuse
             }
-            Act::LoseAndRefuse(time) => {
+            Action::LoseAndRefuse(time) => {
                 run_after(self, 0, move |w| refuse(w, controller, time));
-                Fate::Silent(Duration::ZERO)
+                RequestHandling::Silent(Duration::ZERO)
             }
-            Act::RefuseThenDown(time) => {
+            Action::RefuseThenDown(time) => {
                 run_after(self, 0, move |w| refuse(w, controller, time));
                 run_after(self, 1_000, |w| w.store.lock().expect("lock").set_down(true));
                 run_after(self, time, |w| w.store.lock().expect("lock").set_down(false));
-                Fate::Silent(Duration::ZERO)
+                RequestHandling::Silent(Duration::ZERO)
             }
-            Act::EndWriter(back) => {
+            Action::EndWriter(back) => {
                 run_after(self, 0, move |w| w.end_if_up(controller, back));
-                Fate::Silent(Duration::ZERO)
+                RequestHandling::Silent(Duration::ZERO)
             }
-            Act::EndBefore(back) => {
+            Action::EndBefore(back) => {
                 self.end_if_up(controller, back);
-                Fate::Gone
+                RequestHandling::NotReceived
             }
-            Act::EndAll(back) => {
+            Action::EndAll(back) => {
                 run_after(self, 0, move |w| (0..w.count()).for_each(|ix| w.end_if_up(ix, back)));
-                Fate::Silent(Duration::ZERO)
+                RequestHandling::Silent(Duration::ZERO)
             }
-            Act::LosePeers(time) => {
+            Action::LosePeers(time) => {
                 cut(self, controller, Side::Peers, time);
-                Fate::Answer
+                RequestHandling::Answer
             }
-            Act::LoseWorkers(time) => {
+            Action::LoseWorkers(time) => {
                 cut(self, controller, Side::Workers, time);
-                Fate::Answer
+                RequestHandling::Answer
             }
-            Act::Cancel(n) => {
+            Action::Cancel(n) => {
                 self.cancel_now(n, Duration::ZERO);
-                Fate::Answer
+                RequestHandling::Answer
             }
-            Act::QueryEnding => {
-                let ended = Moment::puts(body)
+            Action::QueryEnding => {
+                let ended = RequestKind::puts(body)
                     .into_iter()
                     .filter_map(|(key, _)| key.strip_prefix("f/").map(ToString::to_string));
-                ended.for_each(|uid| self.look(&uid, true));
-                Fate::Answer
+                ended.for_each(|uid| self.query_burst(&uid, true));
+                RequestHandling::Answer
             }
-            Act::Release => {
+            Action::DeliverKeptReports => {
                 self.deliver_kept_reports();
-                Fate::Answer
+                RequestHandling::Answer
             }
         }
     }
@@ -234,28 +236,29 @@
     /// Ends this controller, unless its process is down already; it is back after this many milliseconds.
     pub fn end_if_up(self: &Arc<Self>, ix: usize, back_ms: u64) {
         if !self.is_down(ix) {
-            self.end_for(ix, back_ms);
+            self.end_and_restart(ix, back_ms);
         }
     }
 
     /// Keeps a copy of a worker's report for the next leader, while `keeps` is set.
-    pub fn keep_copy(&self, from: Host, body: &[u8]) {
-        if self.keeps.load(std::sync::atomic::Ordering::Relaxed) {
-            self.kept.lock().expect("lock").push((from, body.to_vec()));
+    pub fn keep_report(&self, from: Host, body: &[u8]) {
+        if self.keep_reports.load(std::sync::atomic::Ordering::Relaxed) {
+            self.kept_reports.lock().expect("lock").push((from, body.to_vec()));
         }
     }
 
     /// Delivers all kept copies to every controller, now and three more times within 1.2 s.
     pub fn deliver_kept_reports(self: &Arc<Self>) {
-        for (from, body) in std::mem::take(&mut *self.kept.lock().expect("lock")) {
+        for (from, body) in std::mem::take(&mut *self.kept_reports.lock().expect("lock")) {
             for (to, delay_ms) in
                 (0..self.count()).flat_map(|to| [0, 40, 300, 1_200].map(|delay_ms| (to, delay_ms)))
             {
                 let (world, body) = (self.clone(), body.clone());
                 tokio::spawn(async move {
                     sleep(ms(delay_ms)).await;
-                    let _ = tokio::time::timeout(ms(4_000), world.ask(from, to, Op::Report, &body))
-                        .await;
+                    let _ =
+                        tokio::time::timeout(ms(4_000), world.request(from, to, Op::Report, &body))
+                            .await;
                 });
             }
         }
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -30,35 +30,44 @@
 
 /// What users do.
 #[derive(Clone, Copy)]
-pub struct Habits {
+pub struct UserBehavior {
     /// Interval between submissions.
-    pub every: Duration,
+    pub submit_interval: Duration,
     /// Run time of tasks; longer than a lease, since otherwise no task would be left for an expired lease to end.
     pub run: Duration,
     /// How many of every twelve jobs are cancelled, 2 to 22 s after they were accepted.
     pub cancel: u64,
     /// Maximum number of CPUs that a team may use.
-    pub limit: usize,
+    pub max_team_cpus: usize,
     /// The kinds of jobs.
     pub mix: Mix,
     /// Whether they query all controllers within milliseconds after each job was accepted, ended or cancelled, repeat
     /// the submission then, and cancel some jobs at once.
-    pub looks: bool,
+    pub query_bursts: bool,
     /// Whether they also send jobs that lack a field or fit no machine, and cancel jobs that are done.
-    pub odd: bool,
+    pub invalid_jobs: bool,
     /// Number of machines that the cloud can rent out.
     pub rentable: usize,
 }
 
-impl Default for Habits {
+impl Default for UserBehavior {
     fn default() -> Self {
         let (every, run) = (Duration::from_millis(700), Duration::from_secs(25));
         let mix = Mix::Plain;
-        Habits { every, run, cancel: 0, limit: 800, mix, looks: false, odd: false, rentable: 0 }
+        UserBehavior {
+            submit_interval: every,
+            run,
+            cancel: 0,
+            max_team_cpus: 800,
+            mix,
+            query_bursts: false,
+            invalid_jobs: false,
+            rentable: 0,
+        }
     }
 }
 
-impl Habits {
+impl UserBehavior {
     /// Returns how long a task of this job runs.
     pub fn run_of(&self, job: &JobBody, task: u32) -> Duration {
         match (job.kind, job.class.as_str()) {
@@ -135,20 +144,20 @@
     /// When a query about each accepted job was last answered.
     last_answered: BTreeMap<String, Instant>,
     /// Jobs whose cancellation was requested.
-    pub asked: BTreeSet<String>,
+    pub cancel_requested: BTreeSet<String>,
     /// Whether users have stopped submitting: from then on, jobs wait for capacity that is already there, and no longer
     /// compete with new ones.
-    pub enough: bool,
+    pub submissions_stopped: bool,
     /// When all faults were over.
-    pub calm: Option<Instant>,
+    pub faults_over_at: Option<Instant>,
     /// The longest time after that for which queries about one job went unanswered.
     pub unanswered: Duration,
     /// Queries in bursts that were answered, and those that got no answer or a 5xx status.
-    pub looks: (usize, usize),
+    pub query_bursts: (usize, usize),
     /// Answers to invalid submissions.
     pub bad: usize,
     /// Broken rules, except those that are asserted at once.
-    pub wrong: Vec<String>,
+    pub broken_rules: Vec<String>,
 }
 
 impl Users {
@@ -166,20 +175,20 @@
 
     /// Counts one query of a burst.
     fn count_burst_query(&mut self, answered: bool) {
-        *(if answered { &mut self.looks.0 } else { &mut self.looks.1 }) += 1;
+        *(if answered { &mut self.query_bursts.0 } else { &mut self.query_bursts.1 }) += 1;
     }
 
     /// Returns for how long queries about a job have gone unanswered by now, counted from the end of the faults at the
     /// earliest.
-    pub fn silence(&self, uid: &str) -> Duration {
-        let since = self.last_answered.get(uid).copied().max(self.calm);
-        self.calm.and(since).map_or(Duration::ZERO, |at| at.elapsed())
+    pub fn unanswered_for(&self, uid: &str) -> Duration {
+        let since = self.last_answered.get(uid).copied().max(self.faults_over_at);
+        self.faults_over_at.and(since).map_or(Duration::ZERO, |at| at.elapsed())
     }
 
     /// Records an answer with a job's status and checks it: a request that was sent after another answer had arrived
     /// must not be answered with an older status, and a job has only one final status.
     pub fn record_status_answer(&mut self, uid: &str, status: &str, sent: Instant) {
-        self.unanswered = self.unanswered.max(self.silence(uid));
+        self.unanswered = self.unanswered.max(self.unanswered_for(uid));
         self.last_answered.insert(uid.into(), Instant::now());
         self.known_since.entry(uid.into()).or_insert(Instant::now());
         let finished = matches!(status, "done" | "aborted");
@@ -192,7 +201,7 @@
         } else if finished {
             self.finished.insert(uid.into(), (Instant::now(), status.into()));
         }
-        let requested = status != "aborted" || self.asked.contains(uid);
+        let requested = status != "aborted" || self.cancel_requested.contains(uid);
         assert!(requested, "went_back: {uid}, which nobody cancelled");
     }
 
@@ -205,7 +214,8 @@
 
     /// Returns the accepted jobs that no answer has reported as finished and whose cancellation was not requested.
     pub fn open(&self) -> impl Iterator<Item = &String> {
-        let closed = |uid: &String| self.finished.contains_key(uid) || self.asked.contains(uid);
+        let closed =
+            |uid: &String| self.finished.contains_key(uid) || self.cancel_requested.contains(uid);
         self.accepted.keys().filter(move |uid| !closed(uid))
     }
 }
@@ -213,7 +223,7 @@
 impl World {
     /// Records a broken rule.
     fn record_wrong(&self, text: String) {
-        self.users.lock().expect("lock").wrong.push(text);
+        self.users.lock().expect("lock").broken_rules.push(text);
     }
 
     /// Records that a job's status was reported to a user, and checks it against what workers did.
@@ -226,21 +236,21 @@
         };
         let mut checker = self.checker.lock().expect("lock");
         if status == "done" {
-            let (done, all) = checker.done_of(uid);
+            let (done, all) = checker.done_and_total(uid);
             assert_eq!(u64::from(done), all, "not_done: {uid}");
         }
         if status == "aborted" {
             checker.cancelled.entry(uid.into()).or_insert_with(Instant::now);
         }
         drop(checker);
-        if first && self.habits.looks && matches!(status, "done" | "aborted") {
-            self.look(uid, status == "done");
+        if first && self.behavior.query_bursts && matches!(status, "done" | "aborted") {
+            self.query_burst(uid, status == "done");
         }
     }
 
     /// Records and checks the answer to a query, a cancellation or a submission. Returns the job's status, or `None` if
     /// there is no answer or it holds no status.
-    pub fn heard(
+    pub fn record_answer(
         self: &Arc<Self>,
         uid: &str,
         reply: Option<Reply>,
@@ -263,7 +273,7 @@
 
     /// Queries all controllers several times within milliseconds, and repeats the submission at each. With `cancels`,
     /// also cancels the job.
-    pub fn look(self: &Arc<Self>, uid: &str, cancels: bool) {
+    pub fn query_burst(self: &Arc<Self>, uid: &str, cancels: bool) {
         for to in 0..self.count() {
             for (delay_ms, op) in [
                 (0, Op::Show),
@@ -302,15 +312,15 @@
             _ => uid.as_bytes().to_vec(),
         };
         if op == Op::Cancel {
-            self.users.lock().expect("lock").asked.insert(uid.into());
+            self.users.lock().expect("lock").cancel_requested.insert(uid.into());
         }
         let sent = Instant::now();
         let answer_timeout = Duration::from_secs(if op == Op::Show { 2 } else { 5 });
         let reply =
-            timeout(answer_timeout, self.ask(Host::Users, to, op, &body)).await.ok().flatten();
+            timeout(answer_timeout, self.request(Host::Users, to, op, &body)).await.ok().flatten();
         let answered = reply.as_ref().is_some_and(|r| r.status < 500);
         self.users.lock().expect("lock").count_burst_query(answered);
-        self.heard(uid, reply, sent)
+        self.record_answer(uid, reply, sent)
     }
 
     /// Cancels `n` running jobs within a fifth of a second. With `hang`, up to eight of their machines hang for so
@@ -321,7 +331,7 @@
         let (mut chosen, mut hung) = (BTreeSet::new(), 0);
         for worker in workers {
             let mut w = worker.lock().expect("lock");
-            let jobs = w.runs().map(|task_id| crate::checker::parts(task_id).0.to_string());
+            let jobs = w.runs().map(|task_id| crate::checker::split_task_id(task_id).0.to_string());
             let Some(job) = jobs.into_iter().find(|j| open.contains(j) && !chosen.contains(j))
             else {
                 continue;
@@ -333,7 +343,7 @@
             if !hang.is_zero() && hung < 8 {
                 hung += 1;
                 w.hang(hang);
-                crate::workers::tear(self, &w);
+                crate::workers::break_gangs(self, &w);
             }
         }
         for (n, uid) in chosen.into_iter().enumerate() {
@@ -343,15 +353,15 @@
 }
 
 /// Submits a job at each interval through a load balancer that picks controllers that are ready, until `enough` is set.
-pub async fn run(world: Arc<World>) {
+pub async fn run_time(world: Arc<World>) {
     let mut n = 0u64;
     loop {
-        sleep(world.habits.every).await;
-        if world.users.lock().expect("lock").enough {
+        sleep(world.behavior.submit_interval).await;
+        if world.users.lock().expect("lock").submissions_stopped {
             return;
         }
         n += 1;
-        if world.habits.odd && n.is_multiple_of(3) {
+        if world.behavior.invalid_jobs && n.is_multiple_of(3) {
             tokio::spawn(submit_invalid(world.clone(), n));
         }
         tokio::spawn(submit(world.clone(), n));
@@ -360,29 +370,29 @@
 
 /// Submits the `n`th job, up to 60 times, then polls it; cancels it if it is one of those that are cancelled.
 async fn submit(world: Arc<World>, n: u64) {
-    let job = world.habits.job(n);
+    let job = world.behavior.job(n);
     let (uid, service) = (job.uid.clone(), job.kind == JobKind::Service);
     let body = encode(&job);
     world.checker.lock().expect("lock").jobs.insert(uid.clone(), Arc::new(job));
     world.users.lock().expect("lock").waiting.insert(uid.clone(), Instant::now());
     // Queries that arrive while the acceptance is being recorded.
-    if world.habits.looks {
-        world.look(&uid, false);
+    if world.behavior.query_bursts {
+        world.query_burst(&uid, false);
     }
     let begun = Instant::now();
     for attempt in 0..60 {
-        let to = world.balanced(n as usize + attempt);
+        let to = world.pick_ready_controller(n as usize + attempt);
         let sent = Instant::now();
-        let exchange = world.ask(Host::Users, to, Op::Submit, &body);
+        let exchange = world.request(Host::Users, to, Op::Submit, &body);
         let reply = timeout(Duration::from_secs(5), exchange).await.ok().flatten();
         let accepted = reply.as_ref().is_some_and(|r| r.status == 200 || r.status == 201);
         world.users.lock().expect("lock").record_submission(&uid, begun, accepted);
-        world.heard(&uid, reply, sent);
+        world.record_answer(&uid, reply, sent);
         if accepted {
-            if world.habits.looks {
-                world.look(&uid, n.is_multiple_of(5));
+            if world.behavior.query_bursts {
+                world.query_burst(&uid, n.is_multiple_of(5));
             }
-            if n * 5 % 12 < world.habits.cancel || service {
+            if n * 5 % 12 < world.behavior.cancel || service {
                 let delay = Duration::from_millis(2_000 + (n * 7_919) % 20_000);
                 tokio::spawn(cancel(world.clone(), uid.clone(), n as usize, delay));
             }
@@ -397,15 +407,15 @@
 async fn cancel(world: Arc<World>, uid: String, n: usize, delay: Duration) {
     sleep(delay).await;
     // Queries that arrive while the cancellation is being recorded.
-    if world.habits.looks {
-        world.look(&uid, false);
+    if world.behavior.query_bursts {
+        world.query_burst(&uid, false);
     }
     for attempt in n.. {
-        world.users.lock().expect("lock").asked.insert(uid.clone());
-        let (to, sent) = (world.balanced(attempt), Instant::now());
-        let exchange = world.ask(Host::Users, to, Op::Cancel, uid.as_bytes());
+        world.users.lock().expect("lock").cancel_requested.insert(uid.clone());
+        let (to, sent) = (world.pick_ready_controller(attempt), Instant::now());
+        let exchange = world.request(Host::Users, to, Op::Cancel, uid.as_bytes());
         let reply = timeout(Duration::from_secs(5), exchange).await.ok().flatten();
-        if let Some(status) = world.heard(&uid, reply, sent) {
+        if let Some(status) = world.record_answer(&uid, reply, sent) {
             if !matches!(status.as_str(), "aborted" | "done") {
                 world.record_wrong(format!("cancelled, {uid} is {status}"));
             }
@@ -427,16 +437,16 @@
         }
         let sent = Instant::now();
         let exchange =
-            world.ask(Host::Users, ready[attempt % ready.len()], Op::Show, uid.as_bytes());
+            world.request(Host::Users, ready[attempt % ready.len()], Op::Show, uid.as_bytes());
         let reply = timeout(Duration::from_secs(2), exchange).await.ok().flatten();
-        world.heard(&uid, reply, sent);
+        world.record_answer(&uid, reply, sent);
     }
 }
 
 /// Sends an invalid job to all controllers: none may accept it, and its id must stay unknown.
 async fn submit_invalid(world: Arc<World>, n: u64) {
     let uid = format!("wk-9{n:06}");
-    let good = JobBody { uid: uid.clone(), ..world.habits.job(n) };
+    let good = JobBody { uid: uid.clone(), ..world.behavior.job(n) };
     let without = |field: &str| {
         let mut map: BTreeMap<String, serde_json::Value> =
             rmp_serde::from_slice(&encode(&good)).expect("a map");
@@ -456,7 +466,8 @@
     ];
     let (status, field, body) = &cases[(n / 3) as usize % cases.len()];
     for to in (0..world.count()).filter(|to| !world.is_down(*to)) {
-        let send = |op, body| timeout(Duration::from_secs(5), world.ask(Host::Users, to, op, body));
+        let send =
+            |op, body| timeout(Duration::from_secs(5), world.request(Host::Users, to, op, body));
         if let Ok(Some(r)) = send(Op::Submit, body).await
             && r.status < 500
         {
--- a/crates/controller/tests/world/workers.rs
+++ b/crates/controller/tests/world/workers.rs
@@ -4,7 +4,7 @@
 //! while and then continue.
 
 use crate::World;
-use crate::checker::{Place, parts};
+use crate::checker::{Place, split_task_id};
 use crate::network::Host;
 use crate::services::serve;
 use copperhaven::cluster::frames::Op;
@@ -27,7 +27,7 @@
 /// Memory of every machine.
 const MEM_GB: f64 = 32.0;
 /// The machine type of every machine.
-pub const BERTH: &str = "m8";
+pub const MACHINE_TYPE: &str = "m8";
 
 /// Interval at which workers update their tasks.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
@@ -119,7 +119,7 @@
     /// The machine does nothing until then.
     hangs_until: Option<Instant>,
     /// Whether its reports reach no controller, while direct commands still reach it.
-    pub mute: bool,
+    pub reports_blocked: bool,
     /// Whether the machine has been returned or stopped.
     pub gone: bool,
     /// Whether anything has changed since its last report.
@@ -145,7 +145,7 @@
             tasks: BTreeMap::new(),
             images: BTreeMap::new(),
             hangs_until: None,
-            mute: false,
+            reports_blocked: false,
             gone: false,
             changed: false,
         }
@@ -186,7 +186,7 @@
         Report {
             machine: self.name.clone(),
             addr: self.addr(),
-            machine_type: BERTH.into(),
+            machine_type: MACHINE_TYPE.into(),
             zone: zones[self.zone].into(),
             spot: self.spot,
             session: self.session,
@@ -207,20 +207,20 @@
         let mut gangs = world.gangs.lock().expect("lock");
         for (task_id, task) in &mut self.tasks {
             let before = task.stage;
-            let (job, index) = parts(task_id);
+            let (job, index) = split_task_id(task_id);
             if let Stage::Pulling(at) = task.stage
                 && now >= at
             {
                 let place = Place {
                     machine: self.name.clone(),
                     zone: world.zones[self.zone],
-                    berth: BERTH,
+                    machine_type: MACHINE_TYPE,
                     spot: self.spot,
                 };
-                checker.on(task_id, place);
+                checker.task_started(task_id, place);
                 let body = checker.jobs[job].clone();
-                task.stage = if checker.has_ended(task_id) {
-                    checker.off(task_id, &self.name, true);
+                task.stage = if checker.is_task_done(task_id) {
+                    checker.task_stopped(task_id, &self.name, true);
                     Stage::Ended("done")
                 } else if body.kind == JobKind::Gang {
                     let gang = gangs.entry((job.into(), task.attempt)).or_default();
@@ -230,7 +230,7 @@
                     }
                     Stage::Waiting(now)
                 } else {
-                    Stage::Running(now + world.habits.run_of(&body, index))
+                    Stage::Running(now + world.behavior.run_of(&body, index))
                 };
             }
             let Some(body) = checker.jobs.get(job).cloned() else { continue };
@@ -240,15 +240,15 @@
                 let broken = gang
                     .broken_at
                     .is_some_and(|at| now >= at + Duration::from_secs_f64(settings.gang_peer_s));
-                let end = gang.started.map(|at| at + world.habits.run_of(&body, 0));
+                let end = gang.started.map(|at| at + world.behavior.run_of(&body, 0));
                 let cause = match (task.stage, gang.started) {
                     // All members end at the same time, whichever machine is updated first.
-                    _ if checker.has_ended(task_id) => Some("done"),
+                    _ if checker.is_task_done(task_id) => Some("done"),
                     _ if broken => Some("mates_gone"),
                     (_, Some(_))
                         if gang.broken_at.is_none() && end.is_some_and(|end| now >= end) =>
                     {
-                        (0..body.tasks).for_each(|t| checker.end(&format!("{job}/{t}")));
+                        (0..body.tasks).for_each(|t| checker.task_done(&format!("{job}/{t}")));
                         Some("done")
                     }
                     (Stage::Waiting(since), None)
@@ -260,7 +260,7 @@
                 };
                 if let Some(cause) = cause {
                     leave(&mut gangs, job, task.attempt, index);
-                    checker.off(task_id, &self.name, cause == "done");
+                    checker.task_stopped(task_id, &self.name, cause == "done");
                     task.stage = Stage::Ended(cause);
                 } else if let (Stage::Waiting(_), Some(end)) = (task.stage, end) {
                     task.stage = Stage::Running(end);
@@ -268,7 +268,7 @@
             } else if let Stage::Running(ends) = task.stage
                 && now >= ends
             {
-                checker.off(task_id, &self.name, true);
+                checker.task_stopped(task_id, &self.name, true);
                 task.stage = Stage::Ended("done");
             }
             self.changed |= before != task.stage;
@@ -284,12 +284,16 @@
                     if t.attempt != order.attempt || matches!(t.stage, Stage::Ended(_)) {
                         continue;
                     }
-                    let (there, (job, index)) = (t.is_there(), parts(&order.task_id));
+                    let (there, (job, index)) = (t.is_there(), split_task_id(&order.task_id));
                     t.stage = Stage::Ended("halted");
                     self.changed = true;
                     if there {
                         leave(&mut world.gangs.lock().expect("lock"), job, order.attempt, index);
-                        world.checker.lock().expect("lock").off(&order.task_id, &self.name, false);
+                        world.checker.lock().expect("lock").task_stopped(
+                            &order.task_id,
+                            &self.name,
+                            false,
+                        );
                     }
                 }
                 _ => {
@@ -316,10 +320,10 @@
             return;
         }
         self.changed = true;
-        let job = parts(&order.task_id).0;
+        let job = split_task_id(&order.task_id).0;
         let body = {
             let checker = world.checker.lock().expect("lock");
-            checker.ordered(&order.task_id);
+            checker.check_run_order(&order.task_id);
             checker.jobs.get(job).cloned()
         };
         // A task of an unknown job is refused, which shows in the reports.
@@ -346,9 +350,9 @@
         let mut gangs = world.gangs.lock().expect("lock");
         let mut killed = 0;
         for (task_id, task) in self.tasks.iter().filter(|(_, t)| t.is_there()) {
-            let (job, index) = parts(task_id);
+            let (job, index) = split_task_id(task_id);
             leave(&mut gangs, job, task.attempt, index);
-            checker.off(task_id, &self.name, false);
+            checker.task_stopped(task_id, &self.name, false);
             killed += 1;
         }
         self.tasks.clear();
@@ -365,7 +369,7 @@
     }
 
     /// Removes the machine: it has been returned to the cloud or stopped.
-    pub fn go(&mut self, world: &World) {
+    pub fn remove(&mut self, world: &World) {
         self.drop_all(world);
         self.gone = true;
     }
@@ -382,7 +386,7 @@
     }
 
     /// Returns the tasks that have not ended, also those whose image is still being pulled, with their CPUs.
-    pub fn held(&self) -> impl Iterator<Item = (&String, f64)> {
+    pub fn allocated(&self) -> impl Iterator<Item = (&String, f64)> {
         let allocated = self.tasks.iter().filter(|(_, t)| !matches!(t.stage, Stage::Ended(_)));
         allocated.map(|(task_id, t)| (task_id, t.cpus))
     }
@@ -404,7 +408,7 @@
 }
 
 /// Marks the started gangs with a task on this machine as broken: the machine hangs, and the other members notice.
-pub fn tear(world: &World, worker: &Worker) {
+pub fn break_gangs(world: &World, worker: &Worker) {
     let mut gangs = world.gangs.lock().expect("lock");
     for gang in gangs.values_mut().filter(|g| g.started.is_some()) {
         if gang.present.values().any(|machine| *machine == worker.name) {
@@ -512,31 +516,32 @@
             }
             w.update_tasks(&world);
             w.changed = false;
-            (encode(&w.report(&world.zones)), w.session, w.mute)
+            (encode(&w.report(&world.zones)), w.session, w.reports_blocked)
         };
         let sent = Instant::now();
         // A copy arrives at any controller one second to three leases later.
-        if world.copies.load(std::sync::atomic::Ordering::Relaxed) && rng.random_bool(0.5) {
+        if world.delayed_copies.load(std::sync::atomic::Ordering::Relaxed) && rng.random_bool(0.5) {
             let delay =
                 Duration::from_millis(rng.random_range(1_000..lease.as_millis() as u64 * 3));
             let (world, body) = (world.clone(), body.clone());
             let other = rng.random_range(0..world.count());
             tokio::spawn(async move {
                 sleep(delay).await;
-                let _ = timeout(ANSWER_TIMEOUT, world.ask(host, other, Op::Report, &body)).await;
+                let _ =
+                    timeout(ANSWER_TIMEOUT, world.request(host, other, Op::Report, &body)).await;
             });
         }
-        world.keep_copy(host, &body);
+        world.keep_report(host, &body);
         let exchange =
-            async { if mute { None } else { world.ask(host, to, Op::Report, &body).await } };
+            async { if mute { None } else { world.request(host, to, Op::Report, &body).await } };
         // A report that is in flight when its sender gives up still arrives.
         let reply = tokio::select! {
             reply = exchange => reply,
             () = sleep(ANSWER_TIMEOUT) => {
                 let (world, body) = (world.clone(), body.clone());
                 tokio::spawn(async move {
-                    if timeout(Duration::from_secs(120), world.net.pass(host, Host::Controller(to))).await == Ok(true) {
-                        world.door(to, Op::Report, &body).await;
+                    if timeout(Duration::from_secs(120), world.net.deliver(host, Host::Controller(to))).await == Ok(true) {
+                        world.handle_directly(to, Op::Report, &body).await;
                     }
                 });
                 None
--- a/crates/core/examples/memory.rs
+++ b/crates/core/examples/memory.rs
@@ -38,7 +38,7 @@
     for tasks in [1, 10, 100, 1_000, 10_000, 100_000] {
         let jobs = (2_000_000 / tasks).min(20_000) as usize;
         let before = resident_kb();
-        let mut leader = for_tests::cell();
+        let mut leader = for_tests::sample_leader();
         add_jobs(&mut leader, jobs, tasks);
         let kb = resident_kb().saturating_sub(before) as f64;
         let (kb_per_job, bytes_per_task) =
--- a/crates/core/src/admission/index.rs
+++ b/crates/core/src/admission/index.rs
@@ -138,7 +138,7 @@
             if m.is_usable(now, report_timeout_ms) {
                 pools.add_machine(pool, m.spot);
             }
-            pools.load[pool] += (m.used_cpus / m.cpus).max(m.used_mem / m.mem_gb);
+            pools.load[pool] += (m.used_cpus / m.cpus).max(m.used_mem_gb / m.mem_gb);
         }
         for b in self.viable_boots(now) {
             pools.add_machine(self.pool_index(b.zone, b.machine_type), b.spot);
--- a/crates/core/src/boot_tracking.rs
+++ b/crates/core/src/boot_tracking.rs
@@ -114,7 +114,7 @@
             .map(|(zone, (_, last_probe_at))| (*zone, *last_probe_at))
             .find(|(_, last_probe_at)| now > last_probe_at + SILENT_ZONE_PROBE_INTERVAL_MS)?;
         let cheapest = |a: &usize, b: &usize| {
-            self.machine_types[*a].hourly.total_cmp(&self.machine_types[*b].hourly)
+            self.machine_types[*a].hourly_price.total_cmp(&self.machine_types[*b].hourly_price)
         };
         let is_offered = |i: &usize| self.machine_types[*i].zones.contains(&zone);
         let machine_type = (0..self.machine_types.len()).filter(is_offered).min_by(cheapest)?;
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -40,7 +40,7 @@
     /// machine is rented for it if a cheap one will do.
     fn should_rent_spot_only(&self, spec: &JobSpec, eligible_mono_ms: i64, now: u64) -> bool {
         let waited_s = (now as i64 - eligible_mono_ms) as f64 / 1000.0;
-        let without_guarantee = self.settings.deployment.teams[spec.team.index()].is_guest();
+        let without_guarantee = self.settings.deployment.teams[spec.team.index()].lacks_guarantee();
         without_guarantee && spec.spot && waited_s * self.deadline_rate(spec) < 1.0
     }
 
@@ -65,7 +65,7 @@
             // A machine that is reserved for a job is free for it once the tasks there have
             // stopped.
             if s.reserved.is_some() {
-                let machine_type = &self.machine_types[s.kind.index()];
+                let machine_type = &self.machine_types[s.machine_type.index()];
                 (s.cpus, s.gpus, s.mem_gb) =
                     (machine_type.cpus, machine_type.gpus, machine_type.mem_gb);
             }
@@ -74,7 +74,7 @@
             let machine_type = &self.machine_types[kind.index()];
             FreeCapacity {
                 machine_id: MachineId(id),
-                kind,
+                machine_type: kind,
                 zone,
                 spot,
                 cpus: machine_type.cpus,
--- a/crates/core/src/fleet/rentals.rs
+++ b/crates/core/src/fleet/rentals.rs
@@ -87,11 +87,11 @@
         if rented < number as usize {
             self.fleet.back_off(rental_kind, now);
         } else {
-            self.fleet.pauses.remove(&rental_kind);
+            self.fleet.backoffs.remove(&rental_kind);
         }
         for machine_name in machine_names.into_iter().flatten() {
             if !self.machines.contains_name(&machine_name)
-                && !self.fleet.gone.contains(&machine_name)
+                && !self.fleet.confirmed_gone.contains(&machine_name)
             {
                 let (machine_type, zone, spot) = rental_kind;
                 let (requested_at, known_since) = (now, now);
@@ -115,11 +115,11 @@
     /// four lists and four times the list lag have gone by without it.
     pub fn on_machine_list(&mut self, hosts: &[Host], now: u64) {
         for h in hosts {
-            if h.status == "failed" && !self.fleet.gone.contains(&h.uid) {
+            if h.status == "failed" && !self.fleet.confirmed_gone.contains(&h.uid) {
                 self.fleet.pending_returns.insert(h.uid.clone(), "the cloud reports it as failed");
                 continue;
             }
-            if self.machines.contains_name(&h.uid) || self.fleet.gone.contains(&h.uid) {
+            if self.machines.contains_name(&h.uid) || self.fleet.confirmed_gone.contains(&h.uid) {
                 continue;
             }
             let (Some(machine_type), Some(zone)) =
--- a/crates/core/src/fleet/returns.rs
+++ b/crates/core/src/fleet/returns.rs
@@ -74,10 +74,10 @@
                 self.resolve_unreadable_machine_record(name, "the cloud has confirmed its return");
                 self.write_queue.delete_path(format!("m/{name}"));
             }
-            if self.fleet.gone.len() > 5000 {
-                self.fleet.gone.clear();
+            if self.fleet.confirmed_gone.len() > 5000 {
+                self.fleet.confirmed_gone.clear();
             }
-            self.fleet.gone.insert(name.clone());
+            self.fleet.confirmed_gone.insert(name.clone());
         }
     }
 }
--- a/crates/core/src/fleet/standing_capacity.rs
+++ b/crates/core/src/fleet/standing_capacity.rs
@@ -71,7 +71,7 @@
                     // else is left.
                     let cost_factor =
                         if overdue.contains(&(type_id, *zone)) { OVERDUE_COST_FACTOR } else { 1.0 };
-                    let price = machine_type.hourly * cost_factor / machine_type.cpus
+                    let price = machine_type.hourly_price * cost_factor / machine_type.cpus
                         + if spot { 1e6 } else { 0.0 };
                     let number = (gap_cpus / machine_type.cpus).ceil().clamp(1.0, 8.0) as u32;
                     if !self.fleet.is_backing_off(&kind, now) && best.is_none_or(|b| price < b.0) {
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -7,7 +7,7 @@
 fn overdue_boots_are_replaced_where_others_finish_in_time() {
     // Guards against work waiting forever for machines that boot late or never: every booting
     // machine used to count as capacity for an unlimited time.
-    let mut leader = crate::for_tests::cell();
+    let mut leader = crate::for_tests::sample_leader();
     let (small, north, south) = (TypeId(0), ZoneId(0), ZoneId(1));
     let boot = |leader: &mut LeaderState, name: &str, zone: ZoneId, requested_at: u64| {
         let (spot, known_since) = (false, requested_at);
@@ -68,7 +68,7 @@
         (|b| b.deadline_s = None, 60_000, false),
     ];
     for (i, (edit, waited_ms, only_cheap)) in cases.into_iter().enumerate() {
-        let mut leader = crate::for_tests::cell();
+        let mut leader = crate::for_tests::sample_leader();
         let mut body = crate::for_tests::body("wk-1");
         (body.class, body.cpus) = ("study".into(), 0.25);
         edit(&mut body);
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_rental_is_requested_once_at_a_time_and_only_when_recorded() {
-    let mut leader = crate::for_tests::cell();
+    let mut leader = crate::for_tests::sample_leader();
     leader.fleet.provided_machines = Some(0);
     let kind = (TypeId(0), ZoneId(0), false);
     for name in ["r-7-1", "r-7-2", "r-7-3"] {
--- a/crates/core/src/for_tests.rs
+++ b/crates/core/src/for_tests.rs
@@ -22,7 +22,7 @@
 pub const START_MS: u64 = 100_000;
 
 /// Returns the state of a leader that just took over with the sample settings and no records.
-pub fn cell() -> LeaderState {
+pub fn sample_leader() -> LeaderState {
     let settings = Arc::new(sample_settings());
     let mut names = Names::new(&settings);
     let machine_types = sample_machine_types(&mut names);
@@ -104,7 +104,7 @@
 pub fn job_spec(uid: &str, edit: fn(&mut JobBody)) -> crate::state::job::JobSpec {
     let mut body = body(uid);
     edit(&mut body);
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let (settings, machine_types) = (leader.settings.clone(), leader.machine_types.clone());
     resolve_spec(&body, &mut leader.names, &machine_types, &settings).expect("valid")
 }
--- a/crates/core/src/job_status.rs
+++ b/crates/core/src/job_status.rs
@@ -87,7 +87,7 @@
                 match assignment.observed {
                     _ if assignment.stop_requested.is_some() => reason = WaitReason::Stopping,
                     ObservedState::NotReported if assignment.unconfirmed => {
-                        reason = WaitReason::UnheardMachine
+                        reason = WaitReason::UnreportedMachine
                     }
                     ObservedState::Waiting if reason == WaitReason::Image => {
                         reason = WaitReason::GangMembers
--- a/crates/core/src/pipelines/propagation.rs
+++ b/crates/core/src/pipelines/propagation.rs
@@ -167,7 +167,7 @@
         let (queue_key, uid) = ((job.eligible_at_ms, id), job.spec.uid.clone());
         self.fairness_ledger.job_cancelled(
             fairness_accounting::fairness_job(id),
-            fairness_accounting::fairness_pair(&job.spec),
+            fairness_accounting::fairness_team_class(&job.spec),
         );
         self.dependencies.queue_reviews(job);
         self.queue.remove(&queue_key);
--- a/crates/core/src/pipelines/submission.rs
+++ b/crates/core/src/pipelines/submission.rs
@@ -138,7 +138,7 @@
             job.accept_ver = ver;
         }
         if let Some(team_class) =
-            self.jobs.get(&id).map(|j| fairness_accounting::fairness_pair(&j.spec))
+            self.jobs.get(&id).map(|j| fairness_accounting::fairness_team_class(&j.spec))
         {
             self.fairness_ledger.job_accepted(team_class);
         }
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -1,7 +1,7 @@
 use super::propagation::*;
 use super::submission::*;
 use crate::admission::feasibility::resolve_spec;
-use crate::for_tests::{add_job, cell, commit, exchange_report, job_record, report};
+use crate::for_tests::{add_job, commit, exchange_report, job_record, report, sample_leader};
 use crate::records::{Change, DependenciesRecord, DependencyWait, FinalRecord, Record};
 use crate::state::leader_state::LeaderState;
 use crate::state::names::*;
@@ -54,7 +54,7 @@
         match v.clone() {
             Record::Job(x) => records.jobs.push((path.clone(), *x, revision)),
             Record::Links(x) => records.dependency_lists.push((path.clone(), x, revision)),
-            Record::Done(x) => records.done.push((path.clone(), x, revision)),
+            Record::Done(x) => records.done_tasks.push((path.clone(), x, revision)),
             _ => {}
         }
     }
@@ -73,7 +73,7 @@
 /// Returns a successor that has read the records, but not yet the outcomes of dependencies that
 /// are no longer open.
 fn successor(store: &BTreeMap<String, Record>) -> LeaderState {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     rebuild(&mut leader, read_records(store), START_MS, START_MS);
     leader
 }
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_job_starts_only_after_all_its_dependencies_are_recorded_as_done() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     add_job(&mut leader, "wk-1", |b| b.tasks = 1);
     add_job(&mut leader, "wk-2", |b| b.tasks = 1);
     commit(&mut leader);
@@ -120,7 +120,7 @@
     leader.propagate_dependencies(START_MS + 5000);
     assert!(leader.jobs[&id].pending_dependencies.is_empty());
     exchange_report(&mut leader, &report(1, 1, 7, &[]), START_MS + 5000);
-    let mut swapped = cell();
+    let mut swapped = sample_leader();
     std::mem::swap(&mut leader, &mut swapped);
     // Its own record says that it is eligible before it starts: it is placed only once that is
     // saved.
@@ -131,7 +131,7 @@
 
 #[test]
 fn an_eligible_job_is_not_placed_before_its_record_says_so() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     add_job(&mut leader, "wk-1", |b| b.tasks = 1);
     commit(&mut leader);
     let id = add_dependent(&mut leader, "wk-2", &["wk-1"], |b| b.tasks = 1);
@@ -154,7 +154,7 @@
 
 #[test]
 fn checks_the_dependencies_that_a_submission_names() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     add_job(&mut leader, "wk-1", |_| ());
     let done = add_job(&mut leader, "wk-2", |b| b.tasks = 1);
     let cancelled = add_job(&mut leader, "wk-3", |_| ());
@@ -199,7 +199,7 @@
     // 2 and 3 depend on 1, 4 on 2 and 3, 5 on 4; 6 depends on 7, which is done before.
     for crash in ["never", "before the record", "after the record"] {
         let mut store = BTreeMap::new();
-        let mut leader = cell();
+        let mut leader = sample_leader();
         add_job(&mut leader, "wk-1", |_| ());
         add_job(&mut leader, "wk-7", |b| b.tasks = 1);
         apply_changes(&mut store, commit(&mut leader));
@@ -264,7 +264,7 @@
 
 #[test]
 fn a_cancellation_after_the_job_is_done_cancels_nothing() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     add_job(&mut leader, "wk-1", |b| b.tasks = 1);
     commit(&mut leader);
     add_dependent(&mut leader, "wk-2", &["wk-1"], |_| ());
@@ -287,7 +287,7 @@
     // Guards against recursion over a chain, and against one event that blocks the leader for a
     // whole fan: the work per call is bounded, and all jobs are reached in the end.
     for chain in [true, false] {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         add_job(&mut leader, "wk-0", |b| b.tasks = 1);
         commit(&mut leader);
         let n = 3000;
@@ -332,7 +332,7 @@
 #[test]
 fn long_dependency_lists_are_split_over_records_that_fit() {
     for n in [10, 60, 400] {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         leader.write_queue.value_limit = 2048;
         let mut uids = vec![];
         for i in 0..n {
@@ -382,7 +382,7 @@
 
 #[test]
 fn priority_and_deadline_propagate_to_dependencies_only() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     for uid in ["wk-1", "wk-2"] {
         add_job(&mut leader, uid, |b| (b.deadline_s, b.tasks) = (None, 1));
     }
@@ -421,7 +421,7 @@
 
 #[test]
 fn deadlines_are_admitted_by_the_time_that_dependencies_leave() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let mut s = (*leader.settings).clone();
     s.tuning.rejection_cost = 0.6;
     leader.settings = Arc::new(s);
@@ -438,7 +438,7 @@
         assert_eq!(leader.admit_after_wait(&spec, wait_s, START_MS).is_ok(), admitted, "{wait_s}");
     }
     // With a rejection cost of 1, the default, only what no machine could ever take is refused.
-    let leader = cell();
+    let leader = sample_leader();
     assert!(leader.admit_after_wait(&spec, 500.0, START_MS).is_ok());
 }
 
@@ -447,7 +447,7 @@
     // Guards against idle machines being returned just before arrays that need hundreds of CPUs
     // become ready, as seen on days with pipelines: new machines then take 20 s to boot.
     for has_dependent in [true, false] {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         leader.fleet.provided_machines = Some(0);
         add_job(&mut leader, "wk-1", |b| (b.tasks, b.cpus, b.estimate_s) = (1, 4.0, 30.0));
         commit(&mut leader);
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -17,7 +17,7 @@
     /// The machine; `u32::MAX` stands for one that has not booted yet (`fleet::demand`).
     pub machine_id: MachineId,
     /// The machine type.
-    pub kind: TypeId,
+    pub machine_type: TypeId,
     /// The zone that the machine is in.
     pub zone: ZoneId,
     /// Whether the cloud may reclaim the machine.
@@ -41,12 +41,12 @@
     pub fn from_machine(machine_id: MachineId, m: &machine::Machine) -> FreeCapacity {
         FreeCapacity {
             machine_id,
-            kind: m.machine_type,
+            machine_type: m.machine_type,
             zone: m.zone,
             spot: m.spot,
             cpus: m.cpus - m.used_cpus,
             gpus: m.gpus - m.used_gpus,
-            mem_gb: m.mem_gb - m.used_mem,
+            mem_gb: m.mem_gb - m.used_mem_gb,
             images: Images::new(),
             record_free_bytes: usize::MAX,
             reserved: None,
@@ -106,7 +106,7 @@
     /// Returns whether the job may use this machine, by its type, zone and spot status.
     pub fn is_eligible_for(&self, spec: &JobSpec) -> bool {
         (spec.spot || !self.spot)
-            && spec.machine_types.contains(&self.kind)
+            && spec.machine_types.contains(&self.machine_type)
             && spec.zone.is_none_or(|z| z == self.zone)
     }
 }
@@ -215,13 +215,14 @@
             .filter(|(_, s)| !(has_other_machines && job.failed_on.contains_key(&s.machine_id)))
             .filter(|(_, s)| s.fitting_tasks(spec) > 0)
             .map(|(i, s)| {
-                let pool = self.pool_index(s.zone, s.kind);
+                let pool = self.pool_index(s.zone, s.machine_type);
                 let routed = job.routed_by_pool.get(pool).is_some_and(|r| *r > 0);
                 let has_image = s.images.contains(&spec.image);
                 // The cheapest first, so that expensive machines become free and can be returned.
-                let machine_type = &self.machine_types[s.kind.index()];
-                let price =
-                    (machine_type.price(s.spot) * self.machine_share(spec, s.kind) * 1e6) as i64;
+                let machine_type = &self.machine_types[s.machine_type.index()];
+                let price = (machine_type.price(s.spot)
+                    * self.machine_share(spec, s.machine_type)
+                    * 1e6) as i64;
                 let free_cpus = (s.cpus * 1000.0) as i64;
                 (is_suspect(s), !has_image, s.reserved.is_none(), !routed, price, free_cpus, i)
             })
--- a/crates/core/src/placement/need_tests.rs
+++ b/crates/core/src/placement/deficit_tests.rs
@@ -1,6 +1,6 @@
 //! Ranking, reservations and preemption while teams or classes are underserved, and the records of the fairness ledger.
 
-use crate::for_tests::{START_MS, TERM, add_job, cell, commit, report};
+use crate::for_tests::{START_MS, TERM, add_job, commit, report, sample_leader};
 use crate::records::{FAIRNESS_PREFIX, FairnessRecord, Record};
 use crate::state::fairness_accounting;
 use crate::state::leader_state::LeaderState;
@@ -59,7 +59,7 @@
     let small: Edit = |b| (b.tasks, b.deadline_s) = (18, None);
     let blue: Edit = |b| (b.team, b.tasks, b.deadline_s) = ("blue".into(), 30, None);
     let guest: Edit = |b| (b.team, b.tasks, b.deadline_s) = ("guest".into(), 5, None);
-    let mut leader = cell();
+    let mut leader = sample_leader();
     for (uid, edit) in
         [("wk-1", steady), ("wk-2", rush), ("wk-3", small), ("wk-4", blue), ("wk-5", guest)]
     {
@@ -97,7 +97,7 @@
     // In a run with the large fleet, tasks of one CPU took all capacity that became free, and a class with
     // four CPUs per task, though ranked first, was not placed for minutes.
     for underserved in [false, true] {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         add_machines(&mut leader, 8, START_MS);
         let small = add_job(&mut leader, "wk-1", |b| (b.tasks, b.deadline_s) = (60, None));
         commit(&mut leader);
@@ -113,7 +113,8 @@
             let opened_at = START_MS as i64 - 500_000;
             for n in 3..9 {
                 let id = add_job(&mut leader, &format!("wk-{n}"), |b| b.class = "large".into());
-                let team_class = fairness_accounting::fairness_pair(&leader.jobs[&large].spec);
+                let team_class =
+                    fairness_accounting::fairness_team_class(&leader.jobs[&large].spec);
                 leader.fairness_ledger.job_opened(
                     fairness_accounting::fairness_job(id),
                     team_class,
@@ -172,7 +173,7 @@
     for (overload, lost_cpu_s, preempts) in
         [(true, 0.0, true), (true, 10_000.0, false), (false, 10_000.0, true)]
     {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         add_machines(&mut leader, 2, START_MS);
         let low = add_job(&mut leader, "wk-1", |b| {
             (b.tasks, b.team, b.estimate_s, b.deadline_s) = (8, "blue".into(), 300.0, None);
@@ -182,7 +183,7 @@
         commit(&mut leader);
         report_all_running(&mut leader, START_MS + 1);
         leader.fairness_ledger.task_preempted(
-            fairness_accounting::fairness_pair(&leader.jobs[&low].spec),
+            fairness_accounting::fairness_team_class(&leader.jobs[&low].spec),
             lost_cpu_s,
         );
         // Another class is underserved; without overload nothing is bounded.
@@ -208,7 +209,7 @@
         );
         let counters = leader
             .fairness_ledger
-            .team_class(fairness_accounting::fairness_pair(&leader.jobs[&low].spec))
+            .team_class(fairness_accounting::fairness_team_class(&leader.jobs[&low].spec))
             .expect("counted");
         assert_eq!(counters.preempted, if preempts { 5 } else { 1 });
     }
@@ -216,9 +217,9 @@
 
 #[test]
 fn deficits_survive_a_change_of_leader() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let id = add_job(&mut leader, "wk-1", |b| b.deadline_s = None);
-    let team_class = fairness_accounting::fairness_pair(&leader.jobs[&id].spec);
+    let team_class = fairness_accounting::fairness_team_class(&leader.jobs[&id].spec);
     leader.advance_fairness(START_MS);
     (0..40).for_each(|_| {
         leader
@@ -231,12 +232,12 @@
     for change in commit(&mut leader) {
         let crate::records::Change::Put { path, value, .. } = change else { continue };
         match value {
-            Record::Service(r) => records.service.push((path, r, 7)),
+            Record::Service(r) => records.fairness.push((path, r, 7)),
             Record::Job(r) => records.jobs.push((path, *r, 7)),
             _ => {}
         }
     }
-    assert_eq!(records.service.len(), 1);
+    assert_eq!(records.fairness.len(), 1);
     // Rows of unknown teams and values that no leader would write are left out.
     let invalid = FairnessSnapshot {
         team: "nobody".into(),
@@ -246,12 +247,12 @@
         recent: [f64::INFINITY; 3],
     };
     let known_team = FairnessSnapshot { team: "blue".into(), ..invalid.clone() };
-    records.service.push((
+    records.fairness.push((
         format!("{FAIRNESS_PREFIX}1"),
         FairnessRecord { rows: vec![invalid, known_team] },
         7,
     ));
-    let mut successor = cell();
+    let mut successor = sample_leader();
     rebuild(&mut successor, records, START_MS, START_MS);
     let counters = successor.fairness_ledger.team_class(team_class).expect("restored");
     assert_eq!((counters.refused, counters.preempted, counters.open), ([0, 40], 1, 1));
@@ -266,7 +267,7 @@
 
 #[test]
 fn fairness_records_fit_the_value_limit_and_start_with_the_most_served() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let class = |leader: &mut LeaderState, n: usize| {
         leader.names.classes.intern(&format!("class-{n:0>60}"))
     };
@@ -289,7 +290,7 @@
 fn open_tasks_of_one_team_leave_memory_for_other_teams() {
     // A team without a guarantee submits arrays of 100,000 tasks until no more are accepted; red's smaller
     // arrays still are.
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let mut settings = (*leader.settings).clone();
     settings.deployment.limits.mem_mb = 56.0;
     leader.settings = settings.into();
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -31,7 +31,7 @@
                 return WaitReason::Stopping;
             }
             if assignments.iter().any(|e| e.unconfirmed) {
-                return WaitReason::UnheardMachine;
+                return WaitReason::UnreportedMachine;
             }
         }
         let need = job.waiting.len();
@@ -39,11 +39,11 @@
             return WaitReason::TeamLimit;
         }
         if known_unplaceable {
-            return WaitReason::NoRoom;
+            return WaitReason::NoCapacity;
         }
         let candidates = self.candidate_indices(id, spec, capacities);
         let Some(plan) = self.plan_gang(id, spec, capacities, &candidates, need) else {
-            return WaitReason::NoRoom;
+            return WaitReason::NoCapacity;
         };
         if self.team_headroom(spec) < need {
             // The team's work of lower priority is stopped only if the gang fits on machines, and these
@@ -102,7 +102,7 @@
         let mut candidates_by_zone: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         let mut pools: Vec<usize> = vec![];
         for i in candidates {
-            let pool = self.pool_index(capacities[*i].zone, capacities[*i].kind);
+            let pool = self.pool_index(capacities[*i].zone, capacities[*i].machine_type);
             if !by_pool.contains_key(&pool) {
                 pools.push(pool);
             }
--- a/crates/core/src/placement/independent_tasks.rs
+++ b/crates/core/src/placement/independent_tasks.rs
@@ -86,6 +86,6 @@
         if placed {
             self.placement_pending = spec.kind == JobKind::Service;
         }
-        WaitReason::NoRoom
+        WaitReason::NoCapacity
     }
 }
--- a/crates/core/src/placement/limit_tests.rs
+++ b/crates/core/src/placement/limit_tests.rs
@@ -1,6 +1,6 @@
 //! Preemption for a team's limit: victims gathered once per pass, compared with a full search for each job.
 
-use crate::for_tests::{START_MS, TERM, add_job, cell, commit, report};
+use crate::for_tests::{START_MS, TERM, add_job, commit, report, sample_leader};
 use crate::state::job::EPS;
 use crate::state::leader_state::LeaderState;
 use crate::state::machine::{Assignment, ObservedState};
@@ -59,7 +59,7 @@
 /// Returns a leader state whose machines run tasks of all these jobs since various times, the jobs, the machines, and
 /// the current time.
 fn leader_with_running_tasks(rng: &mut StdRng) -> (LeaderState, Vec<JobId>, Vec<MachineId>, u64) {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let now = START_MS + 100_000;
     let jobs: Vec<JobId> = JOBS
         .iter()
@@ -106,7 +106,7 @@
         (b.kind, b.cpus, b.tasks) = (JobKind::Gang, 14.0, 2);
     };
     for (what, edit) in [("a gang", gang), ("an array", array)] {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         let mut now = START_MS;
         for n in 0..3 {
             let machine_type = "big".to_string();
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -10,8 +10,8 @@
 pub mod team_limits;
 
 #[cfg(test)]
-mod limit_tests;
+mod deficit_tests;
 #[cfg(test)]
-mod need_tests;
+mod limit_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -86,7 +86,7 @@
 impl LeaderState {
     /// Returns the milliseconds until the next pass is due, or `None` if nothing has changed since the last.
     pub fn ms_until_next_pass(&self, now: u64) -> Option<u64> {
-        let lag_interval = self.timer_lag.saturating_sub(TOLERATED_TIMER_LAG_MS) * 4;
+        let lag_interval = self.timer_lag_ms.saturating_sub(TOLERATED_TIMER_LAG_MS) * 4;
         let interval = self.pass_interval_ms.max(lag_interval.min(MAX_PASS_INTERVAL_MS));
         self.placement_pending.then(|| (self.last_pass_at + interval).saturating_sub(now))
     }
@@ -114,7 +114,7 @@
         self.last_pass_at = now;
         self.stoppable.clear();
         let unknown = self.unknown_usage();
-        self.team_usage.release_held(unknown);
+        self.team_usage.reset_reservations(unknown);
         self.advance_fairness(now);
         self.deficits = self.compute_deficits();
         let ranked = self.ranked_jobs(&self.deficits, now);
@@ -141,7 +141,7 @@
             }
             if self.may_be_on_unreadable_machine(job) {
                 if let Some(job) = self.jobs.get_mut(&r.id) {
-                    job.wait_reason = WaitReason::UnheardMachine;
+                    job.wait_reason = WaitReason::UnreportedMachine;
                 }
                 continue;
             }
@@ -167,7 +167,7 @@
                         || (unconstrained && failed_searches.fits_fewer_than(&spec, need));
                     self.place_gang(r.id, &spec, &mut capacities, now, known_unplaceable_gang)
                 }
-                _ if known_unplaceable => WaitReason::NoRoom,
+                _ if known_unplaceable => WaitReason::NoCapacity,
                 _ => self.place_independent_tasks(r.id, &spec, &mut capacities, now),
             };
             if reserved_machines.contains_key(&r.id)
@@ -176,7 +176,7 @@
                 // Its reservations were released, so more capacity may be free than failed searches found.
                 failed_searches.max_tasks_by_demand.clear();
             }
-            if wait_reason == WaitReason::NoRoom
+            if wait_reason == WaitReason::NoCapacity
                 && unconstrained
                 && !known_unplaceable
                 && !failed_searches.fits_fewer_than(&spec, need)
@@ -215,9 +215,9 @@
                 }
                 continue;
             }
-            if wait_reason == WaitReason::NoRoom {
-                if job.waiting_for_room_since == 0 {
-                    job.waiting_for_room_since = now;
+            if wait_reason == WaitReason::NoCapacity {
+                if job.waiting_for_capacity_since == 0 {
+                    job.waiting_for_capacity_since = now;
                 }
                 // Searching all running tasks for victims is expensive: a failed search is not
                 // repeated within a second, nor in this pass for jobs that could preempt no more.
@@ -257,7 +257,7 @@
                     }
                 }
             } else if let Some(job) = self.jobs.get_mut(&r.id) {
-                job.waiting_for_room_since = 0;
+                job.waiting_for_capacity_since = 0;
             }
         }
     }
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/core/src/placement/preempt.rs
@@ -64,7 +64,7 @@
     fn can_preempt(&self, id: JobId, victim: &JobSpec) -> bool {
         let (spec, ranked) = (self.spec, &self.ranked);
         let unguaranteed =
-            |s: &JobSpec| self.leader.settings.deployment.teams[s.team.index()].is_guest();
+            |s: &JobSpec| self.leader.settings.deployment.teams[s.team.index()].lacks_guarantee();
         // Teams without a guarantee take what is left, and preempt each other's work only.
         let lower_priority =
             victim.priority > spec.priority && (!unguaranteed(spec) || unguaranteed(victim));
@@ -313,7 +313,8 @@
         let spec = &job.spec;
         let tasks = if spec.kind == JobKind::Gang { f64::from(spec.tasks) } else { 1.0 };
         let lost_cpu_s = self.lost_s(spec, e, now) * spec.cpus * tasks;
-        self.fairness_ledger.task_preempted(fairness_accounting::fairness_pair(spec), lost_cpu_s);
+        self.fairness_ledger
+            .task_preempted(fairness_accounting::fairness_team_class(spec), lost_cpu_s);
     }
 
     /// Returns whether any team without a guarantee has work on machines.
@@ -322,7 +323,7 @@
         teams
             .iter()
             .zip(self.team_usage.usages())
-            .any(|(t, u)| t.is_guest() && (u.cpus > 0.0 || u.gpus > 0.0))
+            .any(|(t, u)| t.lacks_guarantee() && (u.cpus > 0.0 || u.gpus > 0.0))
     }
 
     /// Returns whether an array may preempt: if it is within its team's guarantee and has waited for
@@ -338,8 +339,8 @@
             .filter_map(|o| o.within_s)
             .fold(60.0, f64::min);
         ranked.guaranteed
-            && job.waiting_for_room_since > 0
-            && now > job.waiting_for_room_since + (objective_s * 333.0) as u64
+            && job.waiting_for_capacity_since > 0
+            && now > job.waiting_for_capacity_since + (objective_s * 333.0) as u64
     }
 
     /// Returns the victims on one machine that cost the least per task that then fits there, up to
--- a/crates/core/src/placement/ranking.rs
+++ b/crates/core/src/placement/ranking.rs
@@ -87,7 +87,7 @@
             sum.0 += job.spec.cpus * f64::from(job.remaining_tasks());
             sum.1 += job.spec.gpus * f64::from(job.remaining_tasks());
             let guaranteed = sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS;
-            let team_class = fairness_accounting::fairness_pair(&job.spec);
+            let team_class = fairness_accounting::fairness_team_class(&job.spec);
             let first = self.is_delayed_large_job(job, now)
                 && class_usage.get(&team_class).is_none_or(ClassUsage::has_headroom);
             let (urgency, work) = if first {
@@ -95,8 +95,15 @@
             } else {
                 self.urgency_and_work(job, deficits.class_deficit(team_class), now)
             };
-            let rank =
-                (!guaranteed, team.is_guest(), job.spec.priority, urgency, work, *arrival, *id);
+            let rank = (
+                !guaranteed,
+                team.lacks_guarantee(),
+                job.spec.priority,
+                urgency,
+                work,
+                *arrival,
+                *id,
+            );
             let cpus = job.spec.cpus * f64::from(job.waiting.len());
             entries.push(QueueEntry { team_class, rank, cpus, item: guaranteed });
         }
@@ -121,7 +128,7 @@
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
             let team = &self.settings.deployment.teams[job.spec.team.index()];
             let demand = demands.entry(Team(job.spec.team.0)).or_default();
-            demand.weight = if team.is_guest() { 0.0 } else { team.cpus.max(1.0) };
+            demand.weight = if team.lacks_guarantee() { 0.0 } else { team.cpus.max(1.0) };
             demand.used_cpus = self.team_usage.usage(job.spec.team).cpus;
             demand.waiting_cpus += job.spec.cpus * f64::from(job.waiting.len());
             demand.waiting_cpus =
@@ -145,7 +152,8 @@
         let mut usage: BTreeMap<(Team, Class), ClassUsage> = BTreeMap::new();
         for job in self.queue.iter().filter_map(|(_, id)| self.jobs.get(id)) {
             let cpus = job.spec.cpus * f64::from(job.placement_counts.values().sum::<u32>());
-            let entry = usage.entry(fairness_accounting::fairness_pair(&job.spec)).or_default();
+            let entry =
+                usage.entry(fairness_accounting::fairness_team_class(&job.spec)).or_default();
             entry.cpus += cpus;
             if self.job_sizes.is_large(job.spec.class, job.spec.tasks) {
                 entry.large_job_cpus += cpus;
--- a/crates/core/src/placement/team_limits.rs
+++ b/crates/core/src/placement/team_limits.rs
@@ -12,7 +12,7 @@
     pub fn team_headroom(&self, spec: &JobSpec) -> u32 {
         let team = &self.settings.deployment.teams[spec.team.index()];
         let (mut used, reserved) =
-            (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
+            (self.team_usage.usage(spec.team), self.team_usage.reserved_usage(spec.team));
         used.cpus += reserved.cpus;
         used.gpus += reserved.gpus;
         let fitting = |max: f64, used: f64, per_task: f64| {
@@ -34,14 +34,14 @@
     pub(crate) fn reserve_team_limit(&mut self, id: JobId, spec: &JobSpec) {
         let waiting = self.jobs.get(&id).map_or(0.0, |j| f64::from(j.waiting.len()));
         let tasks = if spec.kind == JobKind::Array { waiting.min(1.0) } else { waiting };
-        self.team_usage.hold(spec, tasks);
+        self.team_usage.reserve(spec, tasks);
     }
 
     /// Returns whether the team's limit would allow `n` tasks if all its work of lower priority were
     /// stopped, except for gangs: these are not stopped for it.
     pub(crate) fn can_fit_limit_by_preemption(&self, spec: &JobSpec, n: u32) -> bool {
         let team = &self.settings.deployment.teams[spec.team.index()];
-        let mut used = self.team_usage.held(spec.team);
+        let mut used = self.team_usage.reserved_usage(spec.team);
         let usage = self.team_usage.usage_by_priority(spec.team);
         let not_lower = &usage.non_gang[..=spec.priority as usize];
         for u in not_lower.iter().chain(&usage.gang) {
@@ -81,7 +81,7 @@
                     let placement = (*machine_id, *id, *task, e.attempt);
                     StoppableGroup::add(
                         &mut groups,
-                        (fairness_accounting::fairness_pair(&job.spec), job.guaranteed),
+                        (fairness_accounting::fairness_team_class(&job.spec), job.guaranteed),
                         &job.spec,
                         placement,
                         lost_s,
@@ -108,7 +108,8 @@
             return Some(vec![]);
         }
         self.gather_stoppable(spec.team, now);
-        let own_deficit = self.deficits.class_deficit(fairness_accounting::fairness_pair(spec));
+        let own_deficit =
+            self.deficits.class_deficit(fairness_accounting::fairness_team_class(spec));
         let LeaderState { stoppable, deficits, machines, .. } = self;
         let groups = stoppable[spec.team.index()].iter_mut().flatten();
         // Work of a class that is at least as underserved is protected, and so is work that is served before the
@@ -117,7 +118,7 @@
         let preemptible = |g: &&mut StoppableGroup| {
             g.priority > spec.priority
                 && (guaranteed || !g.guaranteed)
-                && !deficits.class_deficit(g.pair).is_protected_from(own_deficit)
+                && !deficits.class_deficit(g.team_class).is_protected_from(own_deficit)
         };
         let mut groups: Vec<&mut StoppableGroup> = groups.filter(preemptible).collect();
         let total = |f: fn(&Usage) -> f64| groups.iter().map(|g| f(&g.usage)).sum::<f64>();
@@ -156,7 +157,8 @@
         let Some(job) = self.jobs.get(&id) else { return false };
         let team = &self.settings.deployment.teams[spec.team.index()];
         let tasks = if spec.kind == JobKind::Array { 1.0 } else { f64::from(job.waiting.len()) };
-        let (used, reserved) = (self.team_usage.usage(spec.team), self.team_usage.held(spec.team));
+        let (used, reserved) =
+            (self.team_usage.usage(spec.team), self.team_usage.reserved_usage(spec.team));
         let stopping = self.team_usage.stopping(spec.team);
         let shortfall = Usage {
             cpus: used.cpus + reserved.cpus + spec.cpus * tasks - team.cpus_max - stopping.cpus,
--- a/crates/core/src/placement/tests.rs
+++ b/crates/core/src/placement/tests.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 fn spec(edit: fn(&mut JobBody)) -> Arc<JobSpec> {
-    let mut leader = crate::for_tests::cell();
+    let mut leader = crate::for_tests::sample_leader();
     let mut body = crate::for_tests::body("wk-1");
     edit(&mut body);
     let (settings, machine_types) = (leader.settings.clone(), leader.machine_types.clone());
@@ -23,7 +23,7 @@
 fn passes_keep_an_interval_that_grows_with_load() {
     // With hundreds of waiting jobs of teams without a guarantee, a pass for each of 300 reports a second
     // left the leader no processor time for users, whose queries timed out.
-    let mut leader = crate::for_tests::cell();
+    let mut leader = crate::for_tests::sample_leader();
     leader.run_placement_pass(1000);
     assert_eq!(leader.ms_until_next_pass(1000), None, "nothing has changed");
     leader.placement_pending = true;
@@ -43,7 +43,7 @@
     // A leader whose timers fire late is overloaded and puts off placement.
     leader.record_pass_duration(0);
     for (lag_ms, interval_ms) in [(3, 50), (100, 50), (150, 200), (5000, 1000)] {
-        leader.timer_lag = lag_ms;
+        leader.timer_lag_ms = lag_ms;
         assert_eq!(leader.ms_until_next_pass(1000), Some(interval_ms), "{lag_ms}");
     }
 }
@@ -118,7 +118,7 @@
 #[test]
 fn delayed_largest_jobs_start_while_small_ones_keep_arriving() {
     // With four times the work, ranking by least work kept the largest arrays waiting for seven minutes.
-    let mut leader = cell();
+    let mut leader = sample_leader();
     for n in 0..40 {
         add_job(&mut leader, &format!("wk-{n}"), |b| {
             (b.tasks, b.cpus, b.deadline_s) = (2, 1.0, None);
--- a/crates/core/src/safety_tests.rs
+++ b/crates/core/src/safety_tests.rs
@@ -22,7 +22,7 @@
 
 /// A leader with one accepted task that n-1 was ordered to run in the response to report 2.
 fn leader_with_started_task() -> (LeaderState, JobId, MachineId, u64) {
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     // The first report carries an older term: no task is started in response to it.
@@ -39,7 +39,7 @@
 
 #[test]
 fn run_orders_are_sent_only_after_their_assignments_are_saved() {
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     c.on_report(&report(1, 1, TERM, &[]), START_MS);
     c.run_placement_pass(START_MS);
@@ -126,7 +126,7 @@
 
 #[test]
 fn unreported_machines_keep_their_tasks_until_an_isolated_leader_s_leases_are_over() {
-    let mut c = cell();
+    let mut c = sample_leader();
     let job = job_record("wk-1");
     let machine = MachineRecord {
         addr: "127.0.0.1:9".into(),
@@ -177,7 +177,7 @@
 #[test]
 fn cancellation_racing_a_start() {
     // Cancelled after its assignment was recorded and before the run order was sent: never sent.
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     c.on_report(&report(1, 1, TERM, &[]), START_MS);
@@ -211,7 +211,7 @@
 
 #[test]
 fn unknown_outcomes_keep_keys_and_conditions() {
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |_| ());
     let unanswered = c.next_batch(16).expect("a batch");
     // Unanswered. The next one has the same key and condition, so at most one of the two can be applied.
@@ -228,7 +228,7 @@
 
 #[test]
 fn team_limit_counts_all_assignments() {
-    let mut c = cell();
+    let mut c = sample_leader();
     add_job(&mut c, "wk-1", |b| (b.team, b.tasks, b.cpus) = ("blue".into(), 20, 4.0));
     commit(&mut c);
     for n in 0..12 {
@@ -247,7 +247,7 @@
 
 #[test]
 fn gangs_are_placed_whole_and_members_replaced_with_the_same_attempt() {
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |b| {
         (b.kind, b.tasks, b.cpus, b.one_zone) = (JobKind::Gang, 3, 4.0, true);
     });
@@ -297,7 +297,7 @@
 fn faulty_jobs_do_not_get_healthy_machines_quarantined() {
     // Guards against returning healthy machines on which two faulty jobs, or one with many tasks, failed, and
     // against starting all tasks of a faulty job at once after each backoff (720 failures in a minute).
-    let mut c = cell();
+    let mut c = sample_leader();
     let jobs = [
         add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus) = (4, 1.0)),
         add_job(&mut c, "wk-2", |b| (b.tasks, b.cpus) = (3, 1.0)),
@@ -361,7 +361,7 @@
     // Guards against one pass assigning a machine more of a team's hundreds of one-task jobs than its record can hold:
     // such a record is refused, and its tasks never run. Limits: 8 KiB, and the announced 2 KiB.
     for (limit, min_tasks) in [(8192, 90), (2048, 20)] {
-        let mut c = cell();
+        let mut c = sample_leader();
         c.write_queue.value_limit = limit;
         for n in 0..300 {
             let mut body = body(&format!("wk-{n:020}"));
@@ -395,7 +395,7 @@
 fn machines_failing_tasks_that_run_elsewhere_are_quarantined() {
     // (run time elsewhere in ms, whether the tasks are done there, whether n-1 is faulty)
     for (ran, done, faulty) in [(3_000, false, false), (9_000, false, true), (1_500, true, true)] {
-        let mut c = cell();
+        let mut c = sample_leader();
         let id = add_job(&mut c, "wk-1", |b| (b.tasks, b.cpus) = (2, 1.0));
         commit(&mut c);
         exchange_report(&mut c, &report_of(1, 1, &[]), START_MS);
@@ -435,7 +435,7 @@
     assert_eq!(c.on_report(&late, START_MS + 61_000), ReportOutcome::Stale);
     assert!(!c.machines.contains_key(&machine_id) && c.jobs[&id].waiting.contains(0));
     // The next leader does not know that the machine is gone, but no record lists the task.
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |b| b.tasks = 1);
     commit(&mut c);
     let late = report(1, 3, TERM - 1, &[("wk-1/0", a, "running")]);
@@ -449,7 +449,7 @@
     for (ran, longest, slow) in
         [(12_000, 12.0, false), (20_000, 12.0, false), (40_000, 12.0, true), (40_000, 30.0, false)]
     {
-        let mut c = cell();
+        let mut c = sample_leader();
         let id = add_job(&mut c, "wk-1", |b| b.tasks = 4);
         commit(&mut c);
         exchange_report(&mut c, &report(1, 1, TERM, &[]), START_MS);
@@ -476,7 +476,7 @@
 fn low_priority_tasks_of_a_team_are_preempted_once() {
     // Guards against stopping and restarting the team's tasks in every pass (962 times) without a machine for the gang.
     for machines in [8, 10] {
-        let mut c = cell();
+        let mut c = sample_leader();
         add_job(&mut c, "wk-1", |b| (b.team, b.tasks, b.cpus) = ("blue".into(), 8, 4.0));
         commit(&mut c);
         for n in 0..machines {
@@ -537,7 +537,7 @@
         }],
     };
     for takeover in [START_MS, START_MS + 5_000, START_MS + 60_000] {
-        let mut c = cell();
+        let mut c = sample_leader();
         c.took_over_at = takeover;
         let jobs = vec![("j/wk-1".to_string(), job.clone(), 2)];
         let machines = vec![("m/n-1".to_string(), machine.clone(), 3)];
@@ -560,7 +560,7 @@
 fn gang_members_that_exit_alone_restart_while_others_fetch() {
     // Where fetches outlast the gang wait, a member with the image exited `alone` and ended the others' fetches, repeatedly.
     for (other, ends_attempt) in [("pulling", false), ("waiting", true)] {
-        let mut c = cell();
+        let mut c = sample_leader();
         let id = add_job(&mut c, "wk-1", |b| {
             (b.kind, b.tasks, b.cpus) = (JobKind::Gang, 2, 4.0);
         });
@@ -609,7 +609,7 @@
 fn standing_capacity_is_rented_only_where_machines_are_provided() {
     // Where no machine is provided, rented standing capacity was most of the cost.
     for (provided, rents) in [(None, false), (Some(0), false), (Some(3), true)] {
-        let mut c = cell();
+        let mut c = sample_leader();
         let mut settings = (*c.settings).clone();
         // Every type boots in 20 s, longer than the objective for the start of tasks.
         settings.deployment.objectives[0].within_s = Some(10.0);
@@ -644,7 +644,7 @@
 #[test]
 fn nothing_is_rented_in_silent_zones() {
     // Guards against renting in a cut-off zone once its machines are returned (70, none of which reported for 2 minutes).
-    let mut c = cell();
+    let mut c = sample_leader();
     c.fleet.provided_machines = Some(0);
     let (north, south) = (ZoneId(0), ZoneId(1));
     let at = |n: usize, zone: &str, sequence| {
@@ -693,7 +693,7 @@
 fn late_resubmission_of_a_finished_job_changes_nothing() {
     // Submissions are recorded without a lookup: a finished job must neither run again nor have its end overwritten.
     for cancel in [false, true] {
-        let mut c = cell();
+        let mut c = sample_leader();
         let id = add_job(&mut c, "wk-1", |_| ());
         if cancel {
             c.cancel(id, START_MS);
@@ -710,7 +710,7 @@
         c.check_invariants();
     }
     // The same key after an unknown outcome of this leader's own final record: it is written again.
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |_| ());
     commit(&mut c);
     c.cancel(id, START_MS);
@@ -779,7 +779,7 @@
 fn gangs_completed_by_an_earlier_attempt_leave_no_assignments() {
     // A new attempt was assigned, not yet sent, when the results of the attempt before were reported. With the job
     // finished it was never sent nor proven absent, and used its team's limit.
-    let mut c = cell();
+    let mut c = sample_leader();
     let id = add_job(&mut c, "wk-1", |b| (b.kind, b.tasks) = (JobKind::Gang, 2));
     c.mark_job_saved_for_test(id);
     let first = report(1, 1, TERM, &[]);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -114,7 +114,7 @@
 
 impl Team {
     /// Returns whether the team has no guarantee and only gets the capacity that others leave.
-    pub fn is_guest(&self) -> bool {
+    pub fn lacks_guarantee(&self) -> bool {
         self.cpus <= 0.0 && self.gpus <= 0.0
     }
 }
@@ -594,7 +594,7 @@
             let s: Settings = toml::from_str(&SAMPLE_SETTINGS.replace(from, to)).expect(to);
             assert!(s.check().is_ok(), "{to}");
             let team = &s.deployment.teams[0];
-            assert_eq!((team.cpus_max, team.is_guest()), (max_cpus, guest), "{to}");
+            assert_eq!((team.cpus_max, team.lacks_guarantee()), (max_cpus, guest), "{to}");
         }
     }
 
--- a/crates/core/src/state/fairness_accounting.rs
+++ b/crates/core/src/state/fairness_accounting.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns the team and class under which a job is counted in the fairness ledger.
-pub fn fairness_pair(spec: &JobSpec) -> TeamClass {
+pub fn fairness_team_class(spec: &JobSpec) -> TeamClass {
     (Team(spec.team.0), Class(spec.class.0))
 }
 
@@ -149,7 +149,7 @@
         let target_ms = self.target_ms(&job.spec);
         self.fairness_ledger.job_opened(
             fairness_job(id),
-            fairness_pair(&job.spec),
+            fairness_team_class(&job.spec),
             job.eligible_mono_ms,
             target_ms,
         );
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -22,11 +22,11 @@
     /// Capacity of a machine's image cache in GB.
     pub cache_gb: f64,
     /// Rate at which a machine pulls images, in GB per second; at least 0.001.
-    pub fetch_gb_per_s: f64,
+    pub image_pull_gb_per_s: f64,
     /// Price of an ordinary machine per hour.
-    pub hourly: f64,
+    pub hourly_price: f64,
     /// Price of a spot machine per hour.
-    pub spot_hourly: f64,
+    pub spot_hourly_price: f64,
     /// Nominal boot time in seconds, between 0 and 3600.
     pub boot_s: f64,
     /// Zones that offer the type.
@@ -42,9 +42,9 @@
             gpus: w.gpus.max(0.0),
             mem_gb: w.mem_gb.max(0.0),
             cache_gb: w.cache_gb,
-            fetch_gb_per_s: w.image_pull_gb_per_s.max(0.001),
-            hourly: w.hourly_price,
-            spot_hourly: w.spot_hourly_price,
+            image_pull_gb_per_s: w.image_pull_gb_per_s.max(0.001),
+            hourly_price: w.hourly_price,
+            spot_hourly_price: w.spot_hourly_price,
             boot_s: w.boot_s.clamp(0.0, 3600.0),
             zones: w.zones.iter().map(|z| names.zones.intern(z)).collect(),
         }
@@ -52,7 +52,7 @@
 
     /// Returns the price per hour of a spot or an ordinary machine.
     pub fn price(&self, spot: bool) -> f64 {
-        if spot { self.spot_hourly } else { self.hourly }
+        if spot { self.spot_hourly_price } else { self.hourly_price }
     }
 }
 
@@ -105,11 +105,11 @@
     /// Rentals without an answer of the cloud, by name.
     pub rentals: BTreeMap<String, Rental>,
     /// Backoff after a refused rental: until when, and the length of the next one in milliseconds.
-    pub(crate) pauses: HashMap<RentalKind, (u64, u64)>,
+    pub(crate) backoffs: HashMap<RentalKind, (u64, u64)>,
     /// Names of machines to return to the cloud, with the reason for the log.
     pub(crate) pending_returns: BTreeMap<String, &'static str>,
     /// Names of machines that the cloud has confirmed to be gone.
-    pub(crate) gone: HashSet<String>,
+    pub(crate) confirmed_gone: HashSet<String>,
     /// Number of machines that the operators provide in addition to those that the service rents. `None` until they
     /// are counted and recorded, which happens before the very first rental.
     pub provided_machines: Option<u32>,
@@ -140,9 +140,9 @@
             counter: 0,
             booting: BTreeMap::new(),
             rentals: BTreeMap::new(),
-            pauses: HashMap::new(),
+            backoffs: HashMap::new(),
             pending_returns: BTreeMap::new(),
-            gone: HashSet::new(),
+            confirmed_gone: HashSet::new(),
             provided_machines: None,
             recent_boots: HashMap::new(),
             overdue_boots: 0,
@@ -184,12 +184,12 @@
 
     /// Returns whether the cloud has confirmed that this machine is gone. Names are never reused.
     pub fn is_gone(&self, name: &str) -> bool {
-        self.gone.contains(name)
+        self.confirmed_gone.contains(name)
     }
 
     /// Returns whether rentals of this kind wait because one was refused.
     pub(crate) fn is_backing_off(&self, kind: &RentalKind, now: u64) -> bool {
-        self.pauses.get(kind).is_some_and(|(until, _)| now < *until)
+        self.backoffs.get(kind).is_some_and(|(until, _)| now < *until)
     }
 
     /// Returns whether a machine of this type may be rented in the zone now, as an ordinary machine or, if `spot`
@@ -220,7 +220,7 @@
 
     /// Delays rentals of this kind after a refusal, each time twice as long, from 8 s up to 45 s.
     pub(crate) fn back_off(&mut self, kind: RentalKind, now: u64) {
-        let backoff_ms = self.pauses.get(&kind).map_or(8_000, |(_, next)| *next);
-        self.pauses.insert(kind, (now + backoff_ms, (backoff_ms * 2).min(45_000)));
+        let backoff_ms = self.backoffs.get(&kind).map_or(8_000, |(_, next)| *next);
+        self.backoffs.insert(kind, (now + backoff_ms, (backoff_ms * 2).min(45_000)));
     }
 }
--- a/crates/core/src/state/job.rs
+++ b/crates/core/src/state/job.rs
@@ -88,13 +88,13 @@
     /// The team's resource limit is reached.
     TeamLimit,
     /// No eligible machine has enough free capacity.
-    NoRoom,
+    NoCapacity,
     /// A machine for it is booting.
     Booting,
     /// Its machine is pulling the image.
     Image,
     /// A task may still be running on a machine that has not reported in this term.
-    UnheardMachine,
+    UnreportedMachine,
     /// Its tasks failed on every machine that was tried; the next attempt comes after a backoff.
     Backoff,
     /// A gang whose tasks are not all placed yet.
@@ -111,10 +111,12 @@
             WaitReason::Recording => "being recorded",
             WaitReason::Dependencies => "waits for other jobs to be done",
             WaitReason::TeamLimit => "the team's limit is reached",
-            WaitReason::NoRoom => "no room on the machines it may use",
+            WaitReason::NoCapacity => "no room on the machines it may use",
             WaitReason::Booting => "waiting for a machine to boot",
             WaitReason::Image => "waiting for its image",
-            WaitReason::UnheardMachine => "held until a machine that may still run it is heard of",
+            WaitReason::UnreportedMachine => {
+                "held until a machine that may still run it is heard of"
+            }
             WaitReason::Backoff => {
                 "its tasks fail wherever they start: tried again one at a time, pausing longer each time"
             }
@@ -186,7 +188,7 @@
     /// Number of failed tasks of this job.
     pub failures: u32,
     /// Longest run time of a failed task, in milliseconds.
-    pub longest_failure: u64,
+    pub longest_failure_ms: u64,
     /// Whether the job is known to run, so that its failures are blamed on the machines.
     pub known_to_run: bool,
     /// How often it was backed off because its tasks failed on every machine; sets the length of the next backoff.
@@ -205,7 +207,7 @@
     /// When a task of it was last placed; for the log and to estimate when it is done.
     pub placed_at: u64,
     /// Since when it has waited for capacity, 0 if it does not; used by preemption and reservations.
-    pub waiting_for_room_since: u64,
+    pub waiting_for_capacity_since: u64,
     /// Earliest time of the next search for tasks to preempt.
     pub next_preemption_at: u64,
 }
@@ -248,7 +250,7 @@
             gang_started: false,
             failed_on: HashMap::new(),
             failures: 0,
-            longest_failure: 0,
+            longest_failure_ms: 0,
             known_to_run: false,
             backoff_count: 0,
             retry_at: 0,
@@ -257,7 +259,7 @@
             run_stats: (0, 0.0, 0.0),
             preempted: 0,
             placed_at: 0,
-            waiting_for_room_since: 0,
+            waiting_for_capacity_since: 0,
             next_preemption_at: 0,
         }
     }
--- a/crates/core/src/state/leader_state.rs
+++ b/crates/core/src/state/leader_state.rs
@@ -104,7 +104,7 @@
     /// How late the leader's timers fire, in milliseconds, because it is short of processor time.
     /// Placement is the work that it can defer then: lease renewals, reports, cancellations and
     /// submissions are handled as they arrive.
-    pub timer_lag: u64,
+    pub timer_lag_ms: u64,
 }
 
 impl LeaderState {
@@ -157,7 +157,7 @@
             placement_pending: true,
             last_pass_at: 0,
             pass_interval_ms: MIN_PASS_INTERVAL_MS,
-            timer_lag: 0,
+            timer_lag_ms: 0,
         }
     }
 
@@ -201,7 +201,7 @@
 
     /// Returns whether every lease is over on machines that have not reported in this term, so that
     /// nothing can be running on them any more.
-    pub fn are_unheard_leases_over(&self, now: u64) -> bool {
+    pub fn are_unreported_leases_over(&self, now: u64) -> bool {
         now > self.old_leases_end()
     }
 
@@ -315,7 +315,7 @@
 
     /// Returns whether a deadline presses this job within a pipeline: one that a dependent job passes on
     /// to it, or its own after it had to wait for dependencies.
-    pub fn is_pressed(&self, job: &Job) -> bool {
+    pub fn has_pipeline_deadline(&self, job: &Job) -> bool {
         job.effective_deadline.is_some()
             && (job.spec.deadline_s.is_none() || job.eligible_mono_ms != job.accepted_mono_ms)
     }
@@ -417,7 +417,7 @@
             mem_gb: resources.mem_gb,
             used_cpus: 0.0,
             used_gpus: 0.0,
-            used_mem: 0.0,
+            used_mem_gb: 0.0,
             assignments: BTreeMap::new(),
             last_report: (0, 0),
             last_ordered_report: (0, 0),
@@ -476,7 +476,7 @@
         let Some(job) = self.jobs.get(&id).filter(|j| j.spec.kind != JobKind::Gang) else { return };
         if let Some(Some(groups)) = self.stoppable.get_mut(job.spec.team.index()) {
             let placed_task = (machine_id, id, task, attempt);
-            let group = (fairness_accounting::fairness_pair(&job.spec), job.guaranteed);
+            let group = (fairness_accounting::fairness_team_class(&job.spec), job.guaranteed);
             StoppableGroup::add(groups, group, &job.spec, placed_task, 0.0);
         }
     }
@@ -593,7 +593,9 @@
         }
         let mut open: BTreeMap<_, u32> = BTreeMap::new();
         for (_, id) in &self.queue {
-            *open.entry(fairness_accounting::fairness_pair(&self.jobs[id].spec)).or_default() += 1;
+            *open
+                .entry(fairness_accounting::fairness_team_class(&self.jobs[id].spec))
+                .or_default() += 1;
         }
         for (pair, (n, late)) in self.fairness_ledger.recount() {
             assert_eq!(open.remove(&pair), Some(n), "open jobs of {pair:?}");
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -114,7 +114,7 @@
     /// GPUs used by the assigned tasks.
     pub used_gpus: f64,
     /// Memory used by the assigned tasks, in GB.
-    pub used_mem: f64,
+    pub used_mem_gb: f64,
     /// Tasks that may be on it, by job and task index.
     pub assignments: BTreeMap<(JobId, u32), Assignment>,
     /// Session and sequence of the newest report.
@@ -167,7 +167,7 @@
     pub fn add_task(&mut self, spec: &JobSpec) {
         self.used_cpus += spec.cpus;
         self.used_gpus += spec.gpus;
-        self.used_mem += spec.mem_gb;
+        self.used_mem_gb += spec.mem_gb;
         self.images.retain(|(i, _)| *i != spec.image);
         self.images.push((spec.image, spec.image_gb));
         while self.images.len() > 1
@@ -181,9 +181,9 @@
     pub fn remove_task(&mut self, spec: &JobSpec, empty: bool) {
         self.used_cpus -= spec.cpus;
         self.used_gpus -= spec.gpus;
-        self.used_mem -= spec.mem_gb;
+        self.used_mem_gb -= spec.mem_gb;
         if empty {
-            (self.used_cpus, self.used_gpus, self.used_mem) = (0.0, 0.0, 0.0);
+            (self.used_cpus, self.used_gpus, self.used_mem_gb) = (0.0, 0.0, 0.0);
         }
     }
 
--- a/crates/core/src/state/record_rendering.rs
+++ b/crates/core/src/state/record_rendering.rs
@@ -29,15 +29,15 @@
     /// Machines and their assignments.
     pub machines: &'a Table<MachineId, Machine>,
     /// Dependencies between jobs.
-    pub links: &'a Dependencies,
+    pub dependencies: &'a Dependencies,
     /// Rentals.
     pub fleet: &'a Fleet,
     /// Names of machine types, zones, teams and classes.
     pub names: &'a Names,
     /// Records that can't be read, whose paths are write-protected.
-    pub aside: &'a UnreadableRecords,
+    pub unreadable: &'a UnreadableRecords,
     /// Fairness counters.
-    pub service: &'a FairnessLedger,
+    pub fairness_ledger: &'a FairnessLedger,
     /// Which machines share a stored value.
     pub packs: &'a Packs,
 }
@@ -54,7 +54,7 @@
         let mut body = (*job.body).clone();
         let mut dependency_wait = None;
         if !job.pending_dependencies.is_empty() && !job.is_cancelled() {
-            let inline = self.links.inline_dependencies(job);
+            let inline = self.dependencies.inline_dependencies(job);
             let dependencies = inline.map(ToString::to_string).collect();
             dependency_wait = Some(DependencyWait {
                 dependencies,
@@ -141,7 +141,9 @@
             }
             RecordKey::DependencyPart(id, part) => {
                 let Some(job) = self.jobs.get(id) else { return vec![] };
-                let Some(listed) = self.links.part(&job.spec.uid, *part) else { return vec![] };
+                let Some(listed) = self.dependencies.part(&job.spec.uid, *part) else {
+                    return vec![];
+                };
                 let record = DependenciesRecord {
                     dependencies: listed.iter().map(ToString::to_string).collect(),
                 };
@@ -158,7 +160,7 @@
                 let record = done_record(first_task, DONE_CHUNK_TASKS);
                 // An unreadable record is left as it is; the parts serve as well.
                 if record.encoded_len() <= queue.value_limit
-                    && !self.aside.is_write_protected(&chunk_path)
+                    && !self.unreadable.is_write_protected(&chunk_path)
                 {
                     return vec![put(chunk_path, record)];
                 }
@@ -172,7 +174,7 @@
                 };
                 let parts = (0..DONE_CHUNK_PARTS)
                     .map(part)
-                    .filter(|(path, _)| !self.aside.is_write_protected(path));
+                    .filter(|(path, _)| !self.unreadable.is_write_protected(path));
                 parts.map(|(path, record)| put(path, record)).collect()
             }
             RecordKey::Pack(pack) => self.pack(*pack, queue),
@@ -196,8 +198,11 @@
                 None => vec![],
             },
             RecordKey::FairnessPart(part) => {
-                let parts =
-                    fairness_accounting::record_parts(self.service, self.names, queue.value_limit);
+                let parts = fairness_accounting::record_parts(
+                    self.fairness_ledger,
+                    self.names,
+                    queue.value_limit,
+                );
                 let Some(rows) = parts.into_iter().nth(*part as usize) else { return vec![] };
                 vec![put(
                     format!("{FAIRNESS_PREFIX}{part}"),
--- a/crates/core/src/state/team_usage.rs
+++ b/crates/core/src/state/team_usage.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 pub struct StoppableGroup {
     /// Team and class.
-    pub pair: TeamClass,
+    pub team_class: TeamClass,
     /// Effective priority of the jobs.
     pub priority: Priority,
     /// Whether the jobs are within the team's guarantee.
@@ -94,10 +94,10 @@
     ) {
         let priority = spec.priority;
         let key = (pair, priority, guaranteed);
-        let same = |g: &StoppableGroup| (g.pair, g.priority, g.guaranteed) == key;
+        let same = |g: &StoppableGroup| (g.team_class, g.priority, g.guaranteed) == key;
         let at = groups.iter().position(same).unwrap_or_else(|| {
             let (tasks, usage) = (vec![], Usage::default());
-            groups.push(StoppableGroup { pair, priority, guaranteed, tasks, usage });
+            groups.push(StoppableGroup { team_class: pair, priority, guaranteed, tasks, usage });
             groups.len() - 1
         });
         let usage = Usage { cpus: spec.cpus, gpus: spec.gpus };
@@ -172,7 +172,7 @@
     }
 
     /// Returns the part of the team's limit that is reserved in the current placement pass.
-    pub fn held(&self, team: TeamId) -> Usage {
+    pub fn reserved_usage(&self, team: TeamId) -> Usage {
         self.reserved[team.index()]
     }
 
@@ -208,13 +208,13 @@
 
     /// Starts a new placement pass: every team's reservations are replaced by `unknown`, the usage of tasks whose team
     /// is not known.
-    pub fn release_held(&mut self, unknown: Usage) {
+    pub fn reset_reservations(&mut self, unknown: Usage) {
         self.reserved.fill(unknown);
     }
 
     /// Reserves part of the team's limit for `tasks` tasks, so that jobs served later in the pass don't take what
     /// becomes free.
-    pub fn hold(&mut self, spec: &JobSpec, tasks: f64) {
+    pub fn reserve(&mut self, spec: &JobSpec, tasks: f64) {
         self.reserved[spec.team.index()].add(spec, tasks);
     }
 }
