--- a/crates/core/src/state/write_queue.rs
+++ b/crates/core/src/state/write_queue.rs
@@ -62,7 +62,7 @@
 
 /// Statistics of the transactions of this term.
 #[derive(Debug)]
-pub struct Commits {
+pub struct CommitStats {
     /// Puts and deletes sent.
     pub writes: u64,
     /// Transactions refused as malformed or too large.
@@ -73,9 +73,9 @@
     pub latency_us: hdrhistogram::Histogram<u32>,
 }
 
-impl Default for Commits {
+impl Default for CommitStats {
     fn default() -> Self {
-        Commits {
+        CommitStats {
             writes: 0,
             refused_too_large: 0,
             refused_too_many: 0,
@@ -121,7 +121,7 @@
     /// Whether a transaction may hold only one record, after one with several was rejected.
     pub one_record_per_batch: bool,
     /// Statistics of this term's transactions.
-    pub commit_stats: Commits,
+    pub commit_stats: CommitStats,
     /// Dirty records: the version since which they are dirty, and the newest.
     dirty: BTreeMap<RecordKey, (u64, u64)>,
     /// The newest version of each record that is known to be at the state service.
@@ -154,7 +154,7 @@
             leader_condition,
             value_limit,
             one_record_per_batch: false,
-            commit_stats: Commits::default(),
+            commit_stats: CommitStats::default(),
             dirty: BTreeMap::new(),
             saved: HashMap::new(),
             sent: HashMap::new(),
--- a/crates/core/src/sweep.rs
+++ b/crates/core/src/sweep.rs
@@ -116,7 +116,7 @@
             ),
         ];
         for (removed, remove, expected) in cases {
-            let mut leader = cell();
+            let mut leader = sample_leader();
             let id =
                 add_job(&mut leader, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (3, 1.0, None));
             let other =
@@ -137,7 +137,7 @@
 
     #[test]
     fn recorded_jobs_missing_from_memory_are_found() {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         add_job(&mut leader, "wk-1", |_| ());
         leader.unreadable.add_job("wk-2", "its record can't be used".into());
         leader
--- a/crates/core/src/takeover/mod.rs
+++ b/crates/core/src/takeover/mod.rs
@@ -24,7 +24,7 @@
     /// Open jobs (`j/`).
     pub jobs: RecordList<JobRecord>,
     /// Finished tasks (`d/`).
-    pub done: RecordList<DoneTasksRecord>,
+    pub done_tasks: RecordList<DoneTasksRecord>,
     /// Machines that have a record of their own (`m/`).
     pub machines: RecordList<MachineRecord>,
     /// Packs of machines (`p/`).
@@ -34,7 +34,7 @@
     /// Parts of long dependency lists (`a/`).
     pub dependency_lists: RecordList<DependenciesRecord>,
     /// Parts of the fairness ledger (`c/service/`).
-    pub service: RecordList<FairnessRecord>,
+    pub fairness: RecordList<FairnessRecord>,
     /// Whether machines are to be written in packs.
     pub packs_enabled: bool,
     /// Path and revision of each record that can't be read.
@@ -47,12 +47,12 @@
 pub fn rebuild(leader: &mut LeaderState, records: Records, now: u64, wall_ms: u64) {
     let Records {
         jobs,
-        done,
+        done_tasks: done,
         machines,
         packs,
         rentals,
         dependency_lists,
-        service,
+        fairness: service,
         packs_enabled,
         unreadable,
     } = records;
--- a/crates/core/src/takeover/tests.rs
+++ b/crates/core/src/takeover/tests.rs
@@ -43,7 +43,7 @@
 }
 
 fn taken_over(records: Records) -> LeaderState {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     rebuild(&mut leader, records, START_MS, START_MS);
     leader.check_invariants();
     leader
@@ -92,7 +92,8 @@
             unreadable_at("j/wk-1")
         };
         let done = vec![("d/wk-1/0".to_string(), DoneTasksRecord { task_ranges: vec![0, 1] }, 4)];
-        let mut leader = taken_over(Records { jobs, done, unreadable, ..Records::default() });
+        let mut leader =
+            taken_over(Records { jobs, done_tasks: done, unreadable, ..Records::default() });
         assert!(
             leader.unreadable.job_reason("wk-1").is_some()
                 && leader.unreadable.job_reason("wk-2").is_none(),
@@ -188,7 +189,7 @@
     let orders = exchange_report(&mut leader, &other(1, &[]), START_MS + 100);
     assert_eq!(started(&orders), ["wk-9/0"]);
     let (id, job) = leader.job("wk-1").expect("open");
-    assert_eq!(leader.wait_reason(id, job), WaitReason::UnheardMachine);
+    assert_eq!(leader.wait_reason(id, job), WaitReason::UnreportedMachine);
     // Its first report is of an older term: tasks of open jobs are not halted, those of cancelled
     // or unknown jobs are.
     leader.cancel(leader.jobs.id_of("wk-2").expect("open"), START_MS + 150);
@@ -349,7 +350,7 @@
     // The condition of a transaction fails because a submitted job id already has a final record.
     // If that record is unreadable, the transaction must not be retried forever and block all
     // others.
-    let mut leader = cell();
+    let mut leader = sample_leader();
     add_job(&mut leader, "wk-1", |_| ());
     add_job(&mut leader, "wk-2", |_| ());
     let batch = leader.next_batch(16).expect("both");
@@ -371,7 +372,7 @@
     let jobs = vec![job("wk-1", |b| (b.tasks, b.cpus) = (2, 4.0))];
     let done = vec![("d/wk-1/0".to_string(), DoneTasksRecord { task_ranges: vec![0, 1] }, 4)];
     let machines = vec![machine("n-1", "small", &[("wk-1", 5, 0)])];
-    let mut leader = taken_over(Records { jobs, done, machines, ..Records::default() });
+    let mut leader = taken_over(Records { jobs, done_tasks: done, machines, ..Records::default() });
     let red = leader.names.teams.get("red").expect("known");
     assert_eq!(leader.team_usage.usage(red).cpus, 4.0);
     // A report lists it: it is halted, and still counts.
@@ -393,7 +394,7 @@
     // Where workers report every 8 s, a new leader with free capacity had no machine to start tasks
     // on for 15 s.
     for early_reports in [false, true] {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         leader.request_early_reports = early_reports;
         let records = Records {
             jobs: vec![job("wk-1", |b| (b.tasks, b.cpus) = (3, 4.0))],
--- a/crates/core/src/workers/completion.rs
+++ b/crates/core/src/workers/completion.rs
@@ -23,7 +23,7 @@
             self.queue.remove(&(eligible_at_ms, id));
             self.fairness_ledger.job_cancelled(
                 fairness_accounting::fairness_job(id),
-                fairness_accounting::fairness_pair(&job.spec),
+                fairness_accounting::fairness_team_class(&job.spec),
             );
             self.dependencies.queue_reviews(job);
         }
--- a/crates/core/src/workers/faults.rs
+++ b/crates/core/src/workers/faults.rs
@@ -21,7 +21,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         *job.failed_on.entry(machine_id).or_insert(0) += 1;
         job.failures += 1;
-        job.longest_failure = job.longest_failure.max(ran_ms);
+        job.longest_failure_ms = job.longest_failure_ms.max(ran_ms);
         if !job.known_to_run && !has_proof_of_running && job.is_failing() && now >= job.retry_at {
             job.backoff_count += 1;
             job.retry_at = now + (1000 << job.backoff_count.min(5));
@@ -50,7 +50,7 @@
     fn has_long_running_task(&self, id: JobId, now: u64) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|job| job.running > 0) else { return false };
         let report_interval_ms = (self.settings.deployment.workers.report_s * 1000.0) as u64;
-        let min_run_ms = 2 * job.longest_failure.max(report_interval_ms) + 2000;
+        let min_run_ms = 2 * job.longest_failure_ms.max(report_interval_ms) + 2000;
         self.machines.values().any(|machine| {
             machine.assignments.range((id, 0)..=(id, u32::MAX)).any(|(_, assignment)| {
                 assignment.observed == ObservedState::Running
--- a/crates/core/src/workers/leases.rs
+++ b/crates/core/src/workers/leases.rs
@@ -35,7 +35,7 @@
                 .machines
                 .get(&machine_id)
                 .is_some_and(|machine| leader.is_lease_over(machine, now)),
-            None => leader.are_unheard_leases_over(now),
+            None => leader.are_unreported_leases_over(now),
         };
         let names: Vec<String> =
             self.unreadable.machines().filter(|name| has_expired(self, name)).cloned().collect();
--- a/crates/core/src/workers/report_requests.rs
+++ b/crates/core/src/workers/report_requests.rs
@@ -90,7 +90,7 @@
 
     /// A leader that requests early reports, with one idle machine whose report has been answered.
     fn leader_with_early_reports() -> (LeaderState, MachineId) {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         leader.request_early_reports = true;
         exchange_report(&mut leader, &report(1, 1, TERM, &[]), START_MS);
         let machine_id = leader.machines.id_of("n-1").expect("there");
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -245,7 +245,7 @@
                 job.gang_started = true;
                 job.wait_reason = WaitReason::Nothing;
                 self.fairness_ledger
-                    .tasks_started(fairness_accounting::fairness_pair(&job.spec), 1);
+                    .tasks_started(fairness_accounting::fairness_team_class(&job.spec), 1);
                 // The start time is unknown (0) for a task that an earlier leader started. A task
                 // whose image is on the machine starts at once: the last report did not list it.
                 assignment.running_since = if was_unconfirmed { 0 } else { now };
@@ -338,7 +338,7 @@
                     let pool = self.pool_index(zone, machine_type);
                     self.run_times.record_run(pool, spec.class, run_s);
                     self.fairness_ledger.task_completed(
-                        fairness_accounting::fairness_pair(&spec),
+                        fairness_accounting::fairness_team_class(&spec),
                         run_s * spec.cpus,
                     );
                     if let Some(job) = self.jobs.get_mut(&id) {
@@ -403,8 +403,8 @@
         };
         let mut is_pulling = false;
         for machine in self.machines.values() {
-            let pull_s =
-                job.spec.image_gb / self.machine_types[machine.machine_type.index()].fetch_gb_per_s;
+            let pull_s = job.spec.image_gb
+                / self.machine_types[machine.machine_type.index()].image_pull_gb_per_s;
             let max_pull_ms = 60_000 + (pull_s.min(3600.0) * 4000.0) as u64;
             for (_, assignment) in machine.assignments.range((id, 0)..=(id, u32::MAX)) {
                 if assignment.stop_requested.is_some() || assignment.unconfirmed {
--- a/crates/core/src/workers/unresponsive.rs
+++ b/crates/core/src/workers/unresponsive.rs
@@ -80,7 +80,7 @@
     /// Simulates `count` reports of a worker that acts only on the responses for which `receives`
     /// returns true. Returns the leader state and the number of responses that carried the task.
     fn simulate_reports(receives: impl Fn(u64) -> bool, count: u64) -> (LeaderState, usize) {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         add_job(&mut leader, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (1, 1.0, None));
         commit(&mut leader);
         let (mut listed, mut sent): (Vec<(String, u64)>, usize) = (vec![], 0);
@@ -132,7 +132,7 @@
 
     #[test]
     fn unresponsive_machines_are_returned_a_few_at_a_time() {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         for n in 0..200 {
             let machine_report =
                 |sequence| Report { machine: format!("n-{n}"), ..report(1, sequence, TERM, &[]) };
--- a/crates/core/tests/failures/leaders.rs
+++ b/crates/core/tests/failures/leaders.rs
@@ -39,11 +39,11 @@
             }
             match record.clone() {
                 Record::Job(x) => records.jobs.push((path.clone(), *x, *revision)),
-                Record::Done(x) => records.done.push((path.clone(), x, *revision)),
+                Record::Done(x) => records.done_tasks.push((path.clone(), x, *revision)),
                 Record::Machine(x) => records.machines.push((path.clone(), x, *revision)),
                 Record::Pack(x) => records.packs.push((path.clone(), x, *revision)),
                 Record::Rental(x) => records.rentals.push((path.clone(), x, *revision)),
-                Record::Service(x) => records.service.push((path.clone(), x, *revision)),
+                Record::Service(x) => records.fairness.push((path.clone(), x, *revision)),
                 Record::Links(x) => records.dependency_lists.push((path.clone(), x, *revision)),
                 _ => {}
             }
--- a/crates/core/tests/failures/world.rs
+++ b/crates/core/tests/failures/world.rs
@@ -150,9 +150,9 @@
         gpus: 0.0,
         mem_gb: 32.0,
         cache_gb: 50.0,
-        fetch_gb_per_s: 1.0,
-        hourly: 1.0,
-        spot_hourly: 0.3,
+        image_pull_gb_per_s: 1.0,
+        hourly_price: 1.0,
+        spot_hourly_price: 0.3,
         boot_s: 20.0,
         zones: names.zones.get("n").into_iter().chain(names.zones.get("s")).collect(),
     }]
--- a/crates/core/tests/packs.rs
+++ b/crates/core/tests/packs.rs
@@ -2,7 +2,7 @@
 //! schedules in `failures/` cover moves while tasks run.
 
 use copperhaven_core::for_tests::{
-    START_MS, TERM, add_job, cell, commit, exchange_report, job_record, report,
+    START_MS, TERM, add_job, commit, exchange_report, job_record, report, sample_leader,
 };
 use copperhaven_core::records::{AssignmentRecord, Change, PackRecord, Record};
 use copperhaven_core::state::leader_state::LeaderState;
@@ -13,7 +13,7 @@
 
 /// A leader with `count` machines `n-1`…, each with one task of a separate job.
 fn leader_with_running_tasks(count: usize) -> LeaderState {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     for n in 1..=count {
         add_job(&mut leader, &format!("wk-{n}"), |b| {
             (b.tasks, b.cpus, b.deadline_s) = (1, 4.0, None)
@@ -98,7 +98,7 @@
 
 #[test]
 fn one_change_records_all_machines_of_a_pack() {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     leader.pack_machines();
     for n in 1..=4 {
         let named =
@@ -263,7 +263,7 @@
         ),
     ];
     for (what, packs, unreadable, held_back, write_protected) in rows {
-        let mut leader = cell();
+        let mut leader = sample_leader();
         let packs = packs.into_iter().map(|(path, r)| (path.to_string(), r, 7)).collect();
         let unreadable = unreadable.iter().map(|path| (path.to_string(), 7)).collect();
         let read = Records {
@@ -359,7 +359,7 @@
         for (path, (record, revision)) in &self.values {
             match record.clone() {
                 Record::Job(x) => read.jobs.push((path.clone(), *x, *revision)),
-                Record::Done(x) => read.done.push((path.clone(), x, *revision)),
+                Record::Done(x) => read.done_tasks.push((path.clone(), x, *revision)),
                 Record::Machine(x) => read.machines.push((path.clone(), x, *revision)),
                 Record::Pack(x) => read.packs.push((path.clone(), x, *revision)),
                 _ => {}
@@ -380,7 +380,7 @@
     for seed in 0..12u64 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut store = Store::default();
-        let (mut leader, mut now, mut jobs) = (cell(), START_MS, 0);
+        let (mut leader, mut now, mut jobs) = (sample_leader(), START_MS, 0);
         let mut sequences: BTreeMap<u32, u64> = BTreeMap::new();
         // Running tasks and their attempts, by worker.
         let mut running_tasks: BTreeMap<u32, BTreeMap<String, u64>> = BTreeMap::new();
@@ -468,7 +468,7 @@
                 // A successor, sometimes one without packs.
                 let packed = rng.random_bool(0.7);
                 let term = leader.term + 1;
-                leader = cell();
+                leader = sample_leader();
                 leader.term = term;
                 rebuild(&mut leader, store.records(packed), now, now);
             }
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -1,6 +1,6 @@
 //! Placement passes with and without pruning have the same results after any sequence of events.
 
-use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, report};
+use copperhaven_core::for_tests::{START_MS, TERM, add_job, commit, report, sample_leader};
 use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
@@ -91,7 +91,7 @@
 }
 
 fn run_steps(steps: &[Step]) -> Result<(usize, usize), TestCaseError> {
-    let (mut pruned, mut unpruned) = (cell(), cell());
+    let (mut pruned, mut unpruned) = (sample_leader(), sample_leader());
     let (mut now, mut jobs, mut stop_requests, mut assigned) = (START_MS, 0, 0, 0);
     for step in steps {
         now += 1;
--- a/crates/core/tests/reports.rs
+++ b/crates/core/tests/reports.rs
@@ -1,6 +1,8 @@
 //! Late, repeated and reordered reports of one machine: only the newest counts, whenever it arrives.
 
-use copperhaven_core::for_tests::{START_MS, TERM, add_job, cell, commit, exchange_report, report};
+use copperhaven_core::for_tests::{
+    START_MS, TERM, add_job, commit, exchange_report, report, sample_leader,
+};
 use copperhaven_core::state::leader_state::LeaderState;
 use copperhaven_core::state::machine::ObservedState;
 use copperhaven_wire::workers::{Order, Report};
@@ -10,7 +12,7 @@
 
 /// A leader whose machine was just ordered to run six tasks, and the tasks' ids and attempts.
 fn leader_with_six_run_orders() -> (LeaderState, Vec<(String, u64)>) {
-    let mut leader = cell();
+    let mut leader = sample_leader();
     add_job(&mut leader, "wk-1", |b| (b.tasks, b.cpus, b.deadline_s) = (TASKS, 0.5, None));
     commit(&mut leader);
     let orders = exchange_report(&mut leader, &report(1, 1, TERM, &[]), START_MS);
--- a/crates/core/tests/takeover_input.rs
+++ b/crates/core/tests/takeover_input.rs
@@ -1,7 +1,7 @@
 //! Takeovers from arbitrary records: whatever the state service holds, a new leader does not panic,
 //! its state is consistent and its writes fit the limits. Seeded; a failing seed is printed.
 
-use copperhaven_core::for_tests::{START_MS as NOW_MS, TERM, cell};
+use copperhaven_core::for_tests::{START_MS as NOW_MS, TERM, sample_leader};
 use copperhaven_core::records::*;
 use copperhaven_core::takeover::{Records, rebuild};
 use copperhaven_wire::jobs::{JobBody, JobKind, Priority};
@@ -97,7 +97,7 @@
         read.jobs.push((format!("j/{id}"), record, 1));
         if rng.random_bool(0.5) {
             let chunk = pick(rng, &["0", "0/1", "1", "4194303", "4294967295", "x", ""]);
-            read.done.push((
+            read.done_tasks.push((
                 format!("d/{id}/{chunk}"),
                 DoneTasksRecord { task_ranges: ranges(rng) },
                 2,
@@ -181,7 +181,7 @@
 
 fn run_takeover(seed: u64) -> (usize, usize) {
     let rng = &mut StdRng::seed_from_u64(seed);
-    let mut leader = cell();
+    let mut leader = sample_leader();
     let read = random_records(rng);
     let read_jobs = read.jobs.len();
     rebuild(&mut leader, read, NOW_MS, WALL_MS);
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -64,7 +64,7 @@
         let Some(_) = fixture(path) else { continue };
         match &path[..2] {
             "j/" => records.jobs.push((path.into(), read(path), revision)),
-            "d/" => records.done.push((path.into(), read(path), revision)),
+            "d/" => records.done_tasks.push((path.into(), read(path), revision)),
             "m/" => records.machines.push((path.into(), read(path), revision)),
             "r/" => records.rentals.push((path.into(), read(path), revision)),
             _ => {}
@@ -212,10 +212,10 @@
                     .and_then(|part| part.parse::<u32>().ok())
                     .is_some_and(|chunk| chunk < 2)
             );
-            read.done.push((path, r, n as u64));
+            read.done_tasks.push((path, r, n as u64));
         }
     }
-    assert!(read.done.len() > 2, "stored in parts: {}", read.done.len());
+    assert!(read.done_tasks.len() > 2, "stored in parts: {}", read.done_tasks.len());
     assert!((0..1500).step_by(2).all(|task| leader.is_done_saved(id, task)));
     let job = JobRecord {
         job: (*leader.jobs[&id].body).clone(),
--- a/crates/recovery/src/phase.rs
+++ b/crates/recovery/src/phase.rs
@@ -40,7 +40,7 @@
 
 /// A zone that left the hearing phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Closed {
+pub struct ClosedZone {
     /// The zone that closed.
     pub zone: Zone,
     /// Number of its machines that were on record.
@@ -71,7 +71,7 @@
     /// Recorded machines that have not reported in this term and are not known to be gone.
     unreported_machines: BTreeMap<Machine, Zone>,
     /// Zones that closed since the last call of `advance_time`.
-    newly_closed: Vec<Closed>,
+    newly_closed: Vec<ClosedZone>,
     /// Time at which the last zone closed.
     serving_since: Option<u64>,
 }
@@ -137,22 +137,27 @@
         let (recorded_machines, unreported_machines) =
             (progress.recorded_machines, progress.unreported_machines);
         let elapsed_ms = now.saturating_sub(self.started_at);
-        self.newly_closed.push(Closed { zone, recorded_machines, unreported_machines, elapsed_ms });
+        self.newly_closed.push(ClosedZone {
+            zone,
+            recorded_machines,
+            unreported_machines,
+            elapsed_ms,
+        });
         if self.zones.values().all(|z| z.closed) {
             self.serving_since = Some(now);
         }
     }
 
     /// Returns the time by which every live worker has reported, or `None` until the records are loaded.
-    pub fn bound(&self) -> Option<u64> {
+    pub fn reports_due_at(&self) -> Option<u64> {
         Some(self.records_loaded_at? + self.report_period_ms * 5 / 4 + REPORT_TIMEOUT_MS + RETRY_MS)
     }
 
     /// Advances the time to `now`, closing all zones at the deadline. Returns the zones that closed since
     /// the last call.
-    pub fn advance_time(&mut self, now: u64) -> Vec<Closed> {
+    pub fn advance_time(&mut self, now: u64) -> Vec<ClosedZone> {
         self.last_advanced_at = now;
-        if self.bound().is_some_and(|deadline| now >= deadline) {
+        if self.reports_due_at().is_some_and(|deadline| now >= deadline) {
             let open: Vec<Zone> =
                 self.zones.iter().filter(|(_, z)| !z.closed).map(|(zone, _)| *zone).collect();
             open.into_iter().for_each(|zone| self.close(zone, now));
@@ -172,7 +177,7 @@
     /// Returns whether the recorded assignments of an unreported machine still count as present. After the
     /// deadline, placement treats the machine as dead.
     pub fn is_report_expected(&self, machine: Machine, now: u64) -> bool {
-        self.bound().is_some_and(|deadline| now < deadline)
+        self.reports_due_at().is_some_and(|deadline| now < deadline)
             && self.unreported_machines.contains_key(&machine)
     }
 
@@ -183,7 +188,7 @@
 
     /// Returns the duration of the reading phase and of the whole takeover in milliseconds, each `None`
     /// until it is over.
-    pub fn took(&self) -> (Option<u64>, Option<u64>) {
+    pub fn elapsed_ms(&self) -> (Option<u64>, Option<u64>) {
         let elapsed_ms = |at: u64| at.saturating_sub(self.started_at);
         (self.records_loaded_at.map(elapsed_ms), self.serving_since.map(elapsed_ms))
     }
@@ -214,7 +219,7 @@
         let closed = recovery.advance_time(2_000);
         assert_eq!(
             closed,
-            [Closed {
+            [ClosedZone {
                 zone: Zone(0),
                 recorded_machines: 10,
                 unreported_machines: 0,
@@ -232,7 +237,7 @@
     fn all_zones_close_at_the_deadline_despite_missing_machines() {
         let mut recovery = Recovery::begin(0, 4_000);
         recovery.records_loaded(fleet(20), 500);
-        let deadline = recovery.bound().expect("records are loaded");
+        let deadline = recovery.reports_due_at().expect("records are loaded");
         assert_eq!(deadline, 500 + 5_000 + 4_000 + 1_000);
         assert_eq!(recovery.advance_time(deadline - 1), []);
         assert!(recovery.is_report_expected(Machine(3), deadline - 1));
@@ -242,7 +247,7 @@
             (Phase::Serving, vec![])
         );
         assert!(!recovery.is_report_expected(Machine(3), deadline), "treated as dead");
-        assert_eq!(recovery.took(), (Some(500), Some(deadline)));
+        assert_eq!(recovery.elapsed_ms(), (Some(500), Some(deadline)));
     }
 
     #[test]
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -121,13 +121,13 @@
     }
 
     /// Returns the number of tasks with the given outcome.
-    pub fn of(&self, outcome: ReconcileOutcome) -> u64 {
+    pub fn get(&self, outcome: ReconcileOutcome) -> u64 {
         self.0[outcome as usize]
     }
 
     /// Returns all outcomes with their counts, zero counts included.
     pub fn iter(&self) -> impl Iterator<Item = (ReconcileOutcome, u64)> + '_ {
-        ReconcileOutcome::ALL.iter().map(|outcome| (*outcome, self.of(*outcome)))
+        ReconcileOutcome::ALL.iter().map(|outcome| (*outcome, self.get(*outcome)))
     }
 
     /// Returns the nonzero counts as text for the log.
@@ -196,7 +196,7 @@
         counts.add(ReconcileOutcome::MachineUnreported, 1);
         counts.add(ReconcileOutcome::GoneOn, 1);
         assert_eq!(
-            (counts.summary().as_str(), counts.of(ReconcileOutcome::GoneOn)),
+            (counts.summary().as_str(), counts.get(ReconcileOutcome::GoneOn)),
             ("4 gone on, 1 not heard", 4)
         );
     }
