--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,6 +2,8 @@
 //! rented machines. The others forward requests to it and take over when it fails. The decisions are
 //! made in `copperhaven-core`; this crate connects them to sockets, clocks and the state service.
 
+#![warn(missing_docs)]
+
 pub mod api;
 pub mod cli;
 pub mod cloud;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,6 +3,8 @@
 //! state from the stored records, `state` holds it in parts with one owner each, and every other
 //! module implements one duty on it.
 
+#![warn(missing_docs)]
+
 pub mod admission;
 pub mod boot_tracking;
 pub mod commit_throttle;
