--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -56,7 +56,7 @@
     /// Why an ended task ended, for example `done`, `error` or `full`.
     #[serde(default)]
     pub cause: Option<String>,
-    /// Flag of the protocol that the controllers don't use.
+    /// Whether the progress of a stopped task was saved. The controllers do not use it.
     #[serde(default)]
     pub kept: bool,
 }
