--- a/crates/controller/tests/world/answers.rs
+++ b/crates/controller/tests/world/answers.rs
@@ -33,11 +33,11 @@
             let peer_cut = (0, 20_000, Cut(1, Side::Peers, LinkFault::Hold));
             let ends = [(2_000, 2_001, End(300)), (14_000, 14_001, End(8_000)), peer_cut];
             let schedule: &[_] = if *at == Election { &ends } else { &[peer_cut] };
-            let traps = [FaultTrigger { at: *at, times, act }];
+            let triggers = [FaultTrigger { at: *at, times, act }];
             let name = format!("{at:?}, {act:?} {times} times, {controllers} controllers");
-            let scene = Scene { controllers, traps: &traps, ..Scene::of(schedule) };
+            let scene = Scene { controllers, triggers: &triggers, ..Scene::of(schedule) };
             let out = scene.check(&name, 20 + i as u64);
-            assert!(out.triggered > 0, "{name}: no trap sprang");
+            assert!(out.triggered > 0, "{name}: no trigger fired");
         }
     }
 }
@@ -74,8 +74,9 @@
         ("answers lost", &lost_answers),
     ] {
         for controllers in [3, 5] {
-            let traps = [FaultTrigger { at: FinalRecord, times: u32::MAX, act: QueryEnding }];
-            let out = Scene { controllers, traps: &traps, ..Scene::of(schedule) }.check(name, 50);
+            let triggers = [FaultTrigger { at: FinalRecord, times: u32::MAX, act: QueryEnding }];
+            let out =
+                Scene { controllers, triggers: &triggers, ..Scene::of(schedule) }.check(name, 50);
             assert!(out.triggered > 10, "{name}: {out:?}");
         }
     }
--- a/crates/controller/tests/world/faults.rs
+++ b/crates/controller/tests/world/faults.rs
@@ -140,10 +140,10 @@
                 times: u32::MAX,
                 act: Action::DeliverKeptReports,
             };
-            let mut traps = world.fault_triggers.lock().expect("lock");
-            traps.retain(|t| t.act != Action::DeliverKeptReports);
+            let mut triggers = world.fault_triggers.lock().expect("lock");
+            triggers.retain(|t| t.act != Action::DeliverKeptReports);
             if on {
-                traps.push(release);
+                triggers.push(release);
             }
         }
         IsolatedZone(n, z) => {
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -5,7 +5,7 @@
 
 use crate::faults::Fault::*;
 use crate::network::LinkFault;
-use crate::scenes::{HABITS, Scene, Schedule, reversed, with_an_end};
+use crate::scenes::{DEFAULT_BEHAVIOR, Scene, Schedule, reversed, with_an_end};
 use crate::schedules::Side;
 use crate::triggers::Action::{self, *};
 use crate::triggers::FaultTrigger;
@@ -16,32 +16,35 @@
 struct Row {
     name: &'static str,
     machines: usize,
-    habits: UserBehavior,
+    behavior: UserBehavior,
     schedule: Schedule,
-    traps: Vec<FaultTrigger>,
+    triggers: Vec<FaultTrigger>,
 }
 
 fn row(name: &'static str, schedule: Schedule) -> Row {
     // Tasks run longer than a lease (16 s) and than `cancel_s` (35 s).
-    let habits = UserBehavior {
-        run: Duration::from_secs(40),
+    let behavior = UserBehavior {
+        run_time: Duration::from_secs(40),
         query_bursts: false,
         invalid_jobs: false,
-        ..HABITS
+        ..DEFAULT_BEHAVIOR
     };
-    Row { name, machines: 18, habits, schedule, traps: vec![] }
+    Row { name, machines: 18, behavior, schedule, triggers: vec![] }
 }
 
 /// Both teams submit several times as much work as their limit allows.
 fn at_limit(row: Row) -> Row {
     let every = Duration::from_millis(600);
-    Row { habits: UserBehavior { max_team_cpus: 24, submit_interval: every, ..row.habits }, ..row }
+    Row {
+        behavior: UserBehavior { max_team_cpus: 24, submit_interval: every, ..row.behavior },
+        ..row
+    }
 }
 
-fn trapped(row: Row, traps: &[(RequestKind, u32, Action)]) -> Row {
-    let traps =
-        traps.iter().map(|(at, times, act)| FaultTrigger { at: *at, times: *times, act: *act });
-    Row { traps: traps.collect(), ..row }
+fn with_triggers(row: Row, triggers: &[(RequestKind, u32, Action)]) -> Row {
+    let triggers =
+        triggers.iter().map(|(at, times, act)| FaultTrigger { at: *at, times: *times, act: *act });
+    Row { triggers: triggers.collect(), ..row }
 }
 
 fn team_limit_rows() -> Vec<Row> {
@@ -180,28 +183,31 @@
         (14_000, 22_000, Cut(1, Side::Workers, LinkFault::Hold)),
     ];
     vec![
-        trapped(row("cancellations at an election", ends.clone()), &[(Election, 9, Cancel(6))]),
-        trapped(
+        with_triggers(
+            row("cancellations at an election", ends.clone()),
+            &[(Election, 9, Cancel(6))],
+        ),
+        with_triggers(
             row("cancellations while a new leader reads the records", ends.clone()),
             &[(JobsRead, 9, Cancel(6))],
         ),
-        trapped(
+        with_triggers(
             row("cancellations during a handover", worker_cuts.clone()),
             &[(Election, 3, Cancel(6)), (JobsRead, 3, Cancel(6))],
         ),
-        trapped(
+        with_triggers(
             row("a cancellation is committed, and its writer ends before the answer", ends.clone()),
             &[(Cancellation, 4, EndWriter(300)), (Election, 4, Cancel(6))],
         ),
-        trapped(
+        with_triggers(
             row("the writer of a cancellation ends before it is committed", ends.clone()),
             &[(Cancellation, 4, EndBefore(300)), (JobsRead, 4, Cancel(6))],
         ),
-        trapped(
+        with_triggers(
             row("new leaders end at their election, then as they read the records", ends.clone()),
             &[(Election, 2, EndWriter(50)), (JobsRead, 2, EndBefore(300))],
         ),
-        trapped(
+        with_triggers(
             row("all controllers end at an election", ends),
             &[(Election, 1, EndAll(300)), (JobsRead, 1, EndAll(50))],
         ),
@@ -213,29 +219,29 @@
 fn refusal_rows() -> Vec<Row> {
     let cancel_at_once = |hang| vec![(0, 1, CancelNow(14, hang)), (0, 60_000, Nothing)];
     vec![
-        trapped(
+        with_triggers(
             row(
                 "one controller refused from its cancellation on, state service down a second later",
                 cancel_at_once(0),
             ),
             &[(Cancellation, 1, RefuseThenDown(45_000))],
         ),
-        trapped(
+        with_triggers(
             row("the same, on hanging machines", cancel_at_once(20_000)),
             &[(Cancellation, 1, RefuseThenDown(45_000))],
         ),
-        trapped(
+        with_triggers(
             row("the same, and the leader loses its peers", cancel_at_once(0)),
             &[(Cancellation, 1, RefuseThenDown(45_000)), (Assignments, 1, LosePeers(50_000))],
         ),
-        trapped(
+        with_triggers(
             row(
                 "one controller refused between an assignment and a cancellation",
                 cancel_at_once(8_000),
             ),
             &[(Assignments, 1, LoseAndRefuse(30_000)), (Cancellation, 1, Refuse(30_000))],
         ),
-        trapped(
+        with_triggers(
             row(
                 "a leader loses its workers and is refused",
                 vec![
@@ -250,8 +256,11 @@
 }
 
 fn rental_rows() -> Vec<Row> {
-    let few_machines =
-        |row: Row| Row { machines: 3, habits: UserBehavior { rentable: 24, ..row.habits }, ..row };
+    let few_machines = |row: Row| Row {
+        machines: 3,
+        behavior: UserBehavior { rentable: 24, ..row.behavior },
+        ..row
+    };
     vec![
         few_machines(row(
             "rented machines boot together, slow state service, leaders end",
@@ -265,7 +274,7 @@
                 (16_000, 16_001, End(8_000)),
             ],
         )),
-        trapped(
+        with_triggers(
             few_machines(row(
                 "a leader ends as it records a rental, or the assignments of a new machine",
                 vec![(0, 30_000, LostAnswers), (6_000, 6_001, End(300))],
@@ -284,7 +293,7 @@
 }
 
 fn load_rows() -> Vec<Row> {
-    let short = UserBehavior { run: Duration::from_secs(6), ..HABITS };
+    let short = UserBehavior { run_time: Duration::from_secs(6), ..DEFAULT_BEHAVIOR };
     let single = UserBehavior {
         submit_interval: Duration::from_millis(250),
         cancel: 3,
@@ -293,7 +302,7 @@
         invalid_jobs: false,
         ..short
     };
-    let with_habits = |habits, row: Row| Row { habits, ..row };
+    let with_habits = |behavior, row: Row| Row { behavior, ..row };
     let ten_ends = (0..10).map(|i| (i * 12_000, i * 12_000 + 1, End(300))).collect::<Schedule>();
     let mut with_outage = ten_ends.clone();
     with_outage.push((30_000, 66_000, Down));
@@ -319,9 +328,9 @@
             machines: 5,
             ..with_habits(
                 UserBehavior {
-                    run: Duration::from_secs(12),
+                    run_time: Duration::from_secs(12),
                     submit_interval: Duration::from_millis(1_300),
-                    ..HABITS
+                    ..DEFAULT_BEHAVIOR
                 },
                 row(
                     "more work than capacity, of several priorities, over slow links",
@@ -352,16 +361,16 @@
             let scene = Scene {
                 controllers,
                 machines: row.machines,
-                habits: row.habits,
+                behavior: row.behavior,
                 schedule,
-                traps: &row.traps,
+                triggers: &row.triggers,
                 min_started: 60,
             };
             let name = format!("{}{variant}, {controllers} controllers", row.name);
             let out = scene.check(&name, 60 + i as u64);
-            assert!(out.triggered > 0 || row.traps.is_empty(), "{name}: no trap sprang");
+            assert!(out.triggered > 0 || row.triggers.is_empty(), "{name}: no trigger fired");
             assert!(
-                out.rented.0 > 3 || row.habits.rentable == 0,
+                out.rented.0 > 3 || row.behavior.rentable == 0,
                 "{name}: no machines rented: {out:?}"
             );
         }
--- a/crates/controller/tests/world/main.rs
+++ b/crates/controller/tests/world/main.rs
@@ -168,7 +168,7 @@
         self.nodes.lock().expect("lock")[ix].clone()
     }
 
-    /// Starts a world with the default habits of users; see [`World::with`].
+    /// Starts a world with the default behavior of users; see [`World::with`].
     pub async fn start(controllers: usize, machines: usize, seed: u64) -> Arc<World> {
         World::with(controllers, machines, seed, UserBehavior::default()).await
     }
@@ -178,7 +178,7 @@
         controllers: usize,
         machines: usize,
         seed: u64,
-        habits: UserBehavior,
+        behavior: UserBehavior,
     ) -> Arc<World> {
         let zones = vec!["north", "south", "west"];
         let net = Arc::new(Network::default());
@@ -186,7 +186,7 @@
             (0..machines).map(|n| Arc::new(Mutex::new(Worker::new(n, n % 3)))).collect();
         let nodes: Vec<Arc<Node>> = (0..controllers)
             .map(|ix| {
-                let settings = settings(controllers, ix, &zones, habits.max_team_cpus);
+                let settings = settings(controllers, ix, &zones, behavior.max_team_cpus);
                 Arc::new(Node::with_net(net.process_net(Host::Controller(ix)), settings))
             })
             .collect();
@@ -195,18 +195,18 @@
             services::open(&net, &store, world.clone());
             cloud::open(&net, &zones, world.clone());
             World {
-                settings: settings(controllers, 0, &zones, habits.max_team_cpus),
+                settings: settings(controllers, 0, &zones, behavior.max_team_cpus),
                 names: (0..controllers).map(|ix| format!("c-{ix}")).collect(),
                 zones,
                 store,
                 nodes: Mutex::new(nodes.clone()),
                 down: Mutex::default(),
-                checker: Mutex::new(Checker::new(habits.max_team_cpus)),
-                behavior: habits,
+                checker: Mutex::new(Checker::new(behavior.max_team_cpus)),
+                behavior,
                 users: Mutex::default(),
                 gangs: Mutex::default(),
                 workers: Mutex::default(),
-                cloud: Mutex::new(Cloud::new(machines + habits.rentable)),
+                cloud: Mutex::new(Cloud::new(machines + behavior.rentable)),
                 delayed_copies: Default::default(),
                 keep_reports: Default::default(),
                 kept_reports: Mutex::default(),
@@ -222,7 +222,7 @@
         for (n, worker) in provided.iter().enumerate() {
             world.provide(worker.clone(), seed * 1000 + n as u64);
         }
-        tokio::spawn(users::run_time(world.clone()));
+        tokio::spawn(users::submit_jobs(world.clone()));
         world
     }
 
@@ -421,7 +421,7 @@
     /// Runs on with all links intact, then checks that every accepted job is still known, that a job reported as done
     /// has all its tasks done by the workers' own count, and that only jobs cancelled by their users are aborted.
     pub async fn check_all_finish(&self) {
-        let settle_time = Duration::from_secs(35) + self.behavior.run;
+        let settle_time = Duration::from_secs(35) + self.behavior.run_time;
         self.watch(settle_time, &mut Outcome::default()).await;
         let accepted: Vec<String> =
             self.users.lock().expect("lock").accepted.keys().cloned().collect();
--- a/crates/controller/tests/world/overlapping_faults.rs
+++ b/crates/controller/tests/world/overlapping_faults.rs
@@ -14,9 +14,9 @@
 
 /// Long tasks, of which two thirds are cancelled: without the cancellation they would run longer than `cancel_s`. The
 /// teams' demand exceeds their limit.
-const HABITS: UserBehavior = UserBehavior {
+const DEFAULT_BEHAVIOR: UserBehavior = UserBehavior {
     submit_interval: Duration::from_millis(1_700),
-    run: Duration::from_secs(90),
+    run_time: Duration::from_secs(90),
     cancel: 8,
     max_team_cpus: 100,
     mix: Mix::Plain,
@@ -27,7 +27,7 @@
 
 /// Plays a schedule from 24 s after the start, when tasks run and some are cancelled, until 40 s after its end.
 async fn play(controllers: usize, schedule: &Schedule, seed: u64) -> Outcome {
-    let world = World::with(controllers, 18, seed, HABITS).await;
+    let world = World::with(controllers, 18, seed, DEFAULT_BEHAVIOR).await;
     let mut out = Outcome::default();
     world.watch(Duration::from_secs(24), &mut Outcome::default()).await;
     let first_leader = world.leader().expect("no leader after 24 s");
--- a/crates/controller/tests/world/random_scenes.rs
+++ b/crates/controller/tests/world/random_scenes.rs
@@ -1,8 +1,8 @@
-//! Random scenes: two to four overlapping failures and up to two traps, with a random mix of users and machines.
+//! Random scenes: two to four overlapping failures and up to two triggers, with a random mix of users and machines.
 
 use crate::faults::Fault::{self, *};
 use crate::network::LinkFault;
-use crate::scenes::{HABITS, Scene, Schedule};
+use crate::scenes::{DEFAULT_BEHAVIOR, Scene, Schedule};
 use crate::schedules::Side;
 use crate::triggers::Action::{self, *};
 use crate::triggers::FaultTrigger;
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// The requests on which a random trap may be set.
+/// The requests on which a random trigger may be set.
 const MOMENTS: [RequestKind; 8] =
     [Election, JobsRead, Acceptance, Cancellation, FinalRecord, Assignments, FinishedTasks, Rental];
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn random_trap(rng: &mut StdRng) -> FaultTrigger {
+fn random_trigger(rng: &mut StdRng) -> FaultTrigger {
     let time = rng.random_range(500..40_000);
     let back = pick(rng, &[50, 300, 8_000]);
     let act: Action = match rng.random_range(0..10) {
@@ -79,34 +79,34 @@
         };
         schedule.push((from, from + lasts, trouble));
     }
-    let traps: Vec<FaultTrigger> =
-        (0..rng.random_range(0..3)).map(|_| random_trap(&mut rng)).collect();
+    let triggers: Vec<FaultTrigger> =
+        (0..rng.random_range(0..3)).map(|_| random_trigger(&mut rng)).collect();
     let looks = rng.random_bool(0.4);
-    let habits = UserBehavior {
-        run: Duration::from_secs(pick(&mut rng, &[8, 20, 40])),
+    let behavior = UserBehavior {
+        run_time: Duration::from_secs(pick(&mut rng, &[8, 20, 40])),
         max_team_cpus: pick(&mut rng, &[24, 40, 80]),
         cancel: pick(&mut rng, &[3, 6, 8]),
         mix: pick(&mut rng, &[Mix::All, Mix::All, Mix::All, Mix::Single]),
         rentable: pick(&mut rng, &[0, 12]),
         invalid_jobs: rng.random_bool(0.3),
         query_bursts: looks,
-        ..HABITS
+        ..DEFAULT_BEHAVIOR
     };
-    let machines = if habits.rentable > 0 { 6 } else { 18 };
+    let machines = if behavior.rentable > 0 { 6 } else { 18 };
     let controllers = pick(&mut rng, &[3, 3, 5]);
     let scene = Scene {
         controllers,
         machines,
-        habits,
+        behavior,
         schedule: &schedule,
-        traps: &traps,
+        triggers: &triggers,
         min_started: 25,
     };
     let name = format!("seed {seed}");
     let play_once = || scene.check(&name, seed);
     if let Err(cause) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(play_once)) {
         eprintln!("seed {seed} violates a rule, {controllers} controllers, {machines} machines:");
-        eprintln!("{schedule:?}\n{traps:?}");
+        eprintln!("{schedule:?}\n{triggers:?}");
         std::panic::resume_unwind(cause);
     }
 }
--- a/crates/controller/tests/world/scenes.rs
+++ b/crates/controller/tests/world/scenes.rs
@@ -1,4 +1,4 @@
-//! A scene: a world with users, workers and controllers in which a schedule of failures is played and traps are set,
+//! A scene: a world with users, workers and controllers in which a schedule of failures is played and triggers are set,
 //! and what must hold afterwards.
 
 use crate::faults::{Fault, set_fault};
@@ -15,22 +15,22 @@
 pub struct Scene<'a> {
     /// Number of controllers.
     pub controllers: usize,
-    /// Number of machines at the start; rented ones are counted in `habits`.
+    /// Number of machines at the start; rented ones are counted in `behavior`.
     pub machines: usize,
     /// What users submit, query and cancel.
-    pub habits: UserBehavior,
+    pub behavior: UserBehavior,
     /// The failures to play.
     pub schedule: &'a [(u64, u64, Fault)],
     /// Faults injected at requests to the state service, from the first failure to 30 s after the last.
-    pub traps: &'a [FaultTrigger],
+    pub triggers: &'a [FaultTrigger],
     /// Tasks that have to be started for the scene to show anything.
     pub min_started: usize,
 }
 
 /// Users that submit all kinds of jobs, query all controllers closely and send invalid jobs.
-pub const HABITS: UserBehavior = UserBehavior {
+pub const DEFAULT_BEHAVIOR: UserBehavior = UserBehavior {
     submit_interval: Duration::from_millis(900),
-    run: Duration::from_secs(18),
+    run_time: Duration::from_secs(18),
     cancel: 5,
     max_team_cpus: 60,
     mix: Mix::All,
@@ -40,27 +40,27 @@
 };
 
 impl<'a> Scene<'a> {
-    /// Returns a scene with three controllers, 18 machines, `HABITS` and no traps.
+    /// Returns a scene with three controllers, 18 machines, `DEFAULT_BEHAVIOR` and no triggers.
     pub fn of(schedule: &'a [(u64, u64, Fault)]) -> Scene<'a> {
         Scene {
             controllers: 3,
             machines: 18,
-            habits: HABITS,
+            behavior: DEFAULT_BEHAVIOR,
             schedule,
-            traps: &[],
+            triggers: &[],
             min_started: 60,
         }
     }
 
-    /// Plays the failures from 35 s after the start, with the traps set when they begin. Once the failures are over,
-    /// users submit no more jobs, the traps stay for another 30 s, and then 100 s without any fault follow.
+    /// Plays the failures from 35 s after the start, with the triggers set when they begin. Once the failures are over,
+    /// users submit no more jobs, the triggers stay for another 30 s, and then 100 s without any fault follow.
     async fn play(&self, seed: u64) -> Outcome {
-        let world = World::with(self.controllers, self.machines, seed, self.habits).await;
+        let world = World::with(self.controllers, self.machines, seed, self.behavior).await;
         let mut out = Outcome::default();
         world.watch(Duration::from_secs(35), &mut Outcome::default()).await;
         let first_leader = world.leader().expect("no leader after 35 s");
         world.reset_measurements();
-        world.fault_triggers.lock().expect("lock").extend(self.traps);
+        world.fault_triggers.lock().expect("lock").extend(self.triggers);
         world
             .play(self.schedule, &mut out, |trouble, on| {
                 set_fault(&world, first_leader, trouble, on)
@@ -86,7 +86,7 @@
         // Users count a job as forgotten after 75 s.
         assert!(out.unanswered <= Duration::from_secs(20), "{name}: {out:?}");
         println!(
-            "{name}: answers {} and {} deferred, killed {}, cancelled {} and ran on for {:.1} s, started after that {}, unanswered {:.1} s, idle {:.1} s, changes {}, traps sprung {}, transactions without answer {}, invalid jobs rejected {}, rented {}",
+            "{name}: answers {} and {} deferred, killed {}, cancelled {} and ran on for {:.1} s, started after that {}, unanswered {:.1} s, idle {:.1} s, changes {}, triggers sprung {}, transactions without answer {}, invalid jobs rejected {}, rented {}",
             out.query_bursts.0,
             out.query_bursts.1,
             out.killed,
--- a/crates/controller/tests/world/schedules.rs
+++ b/crates/controller/tests/world/schedules.rs
@@ -99,7 +99,7 @@
     ("leader: cloud", &[cut(0, 40, Leader, Cloud, Hold)], 2, 0, 0),
     ("second controller: state service", &[cut(0, 40, Second, State, Hold)], 3, 0, 0),
     ("second controller: workers", &[cut(0, 40, Second, Workers, Hold)], 3, 0, 0),
-    // Seen on a large fleet: 987 tasks were killed although the third controller had links to all workers.
+    // Seen on a large fleet: 987 tasks were killed although the third controller had all its links.
     (
         "two controllers lose the workers, then peers are refused",
         &[
--- a/crates/controller/tests/world/triggers.rs
+++ b/crates/controller/tests/world/triggers.rs
@@ -1,5 +1,5 @@
-//! Fault injection by request: recognizes what a controller sends to the state service (`Moment`) and applies a fault
-//! (`Act`) at exactly that request. Faults at a critical step so come about in each run, not by chance.
+//! Fault injection by request: recognizes what a controller sends to the state service (`RequestKind`) and applies a fault
+//! (`Action`) at exactly that request. Faults at a critical step so come about in each run, not by chance.
 
 use crate::World;
 use crate::network::{Host, LinkFault};
@@ -156,7 +156,7 @@
 }
 
 impl World {
-    /// Springs the trap that is set for this request of a controller, if there is one. Returns how the state service
+    /// Fires the trigger that is set for this request of a controller, if there is one. Returns how the state service
     /// handles the request.
     pub fn on_state_request(
         self: &Arc<Self>,
@@ -169,14 +169,15 @@
             return RequestHandling::Answer;
         };
         let act = {
-            let mut traps = self.fault_triggers.lock().expect("lock");
-            let Some(trap) = traps.iter_mut().find(|trap| trap.at == moment && trap.times > 0)
+            let mut triggers = self.fault_triggers.lock().expect("lock");
+            let Some(trigger) =
+                triggers.iter_mut().find(|trigger| trigger.at == moment && trigger.times > 0)
             else {
                 return RequestHandling::Answer;
             };
-            trap.times -= 1;
+            trigger.times -= 1;
             *self.triggered.lock().expect("lock") += 1;
-            trap.act
+            trigger.act
         };
         match act {
             Action::LoseAnswer => RequestHandling::Silent(Duration::ZERO),
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -34,7 +34,7 @@
     /// Interval between submissions.
     pub submit_interval: Duration,
     /// Run time of tasks; longer than a lease, since otherwise no task would be left for an expired lease to end.
-    pub run: Duration,
+    pub run_time: Duration,
     /// How many of every twelve jobs are cancelled, 2 to 22 s after they were accepted.
     pub cancel: u64,
     /// Maximum number of CPUs that a team may use.
@@ -52,11 +52,11 @@
 
 impl Default for UserBehavior {
     fn default() -> Self {
-        let (every, run) = (Duration::from_millis(700), Duration::from_secs(25));
+        let (submit_interval, run_time) = (Duration::from_millis(700), Duration::from_secs(25));
         let mix = Mix::Plain;
         UserBehavior {
-            submit_interval: every,
-            run,
+            submit_interval,
+            run_time,
             cancel: 0,
             max_team_cpus: 800,
             mix,
@@ -72,8 +72,8 @@
     pub fn run_of(&self, job: &JobBody, task: u32) -> Duration {
         match (job.kind, job.class.as_str()) {
             (JobKind::Service, _) => Duration::from_secs(1_000_000),
-            (_, "apart") if task == 0 => self.run / 5,
-            _ => self.run,
+            (_, "apart") if task == 0 => self.run_time / 5,
+            _ => self.run_time,
         }
     }
 
@@ -352,8 +352,8 @@
     }
 }
 
-/// Submits a job at each interval through a load balancer that picks controllers that are ready, until `enough` is set.
-pub async fn run_time(world: Arc<World>) {
+/// Submits a job at each interval through a load balancer that picks controllers that are ready, until `submissions_stopped` is set.
+pub async fn submit_jobs(world: Arc<World>) {
     let mut n = 0u64;
     loop {
         sleep(world.behavior.submit_interval).await;
